--- a/src/main/java/org/otterpond/cargo/Berths.java
+++ b/src/main/java/org/otterpond/cargo/Berths.java
@@ -2,22 +2,25 @@
 
 import java.util.Map;
 
-/** Where the nodes of the fleet stand: how many in each zone, and this one's place among those of its own. */
+/**
+ * Where the nodes of the fleet stand: how many in each zone, and this one's place among those of
+ * its own.
+ */
 record Berths(String zone, Map<String, Integer> nodesInZone, int rank) {
-    static Berths alone(String zone) {
-        return new Berths(zone, Map.of(zone, 1), 0);
-    }
+  static Berths alone(String zone) {
+    return new Berths(zone, Map.of(zone, 1), 0);
+  }
 
-    int nodes() {
-        return Math.max(1, nodesInZone.values().stream().mapToInt(Integer::intValue).sum());
-    }
+  int nodes() {
+    return Math.max(1, nodesInZone.values().stream().mapToInt(Integer::intValue).sum());
+  }
 
-    int nodesHere() {
-        return Math.max(1, nodesInZone.getOrDefault(zone, 1));
-    }
+  int nodesHere() {
+    return Math.max(1, nodesInZone.getOrDefault(zone, 1));
+  }
 
-    /** The part of all nodes that stands in a zone. */
-    double share(String of) {
-        return nodesInZone.getOrDefault(of, 0) / (double) nodes();
-    }
+  /** The part of all nodes that stands in a zone. */
+  double share(String of) {
+    return nodesInZone.getOrDefault(of, 0) / (double) nodes();
+  }
 }
--- a/src/main/java/org/otterpond/cargo/Dispatcher.java
+++ b/src/main/java/org/otterpond/cargo/Dispatcher.java
@@ -1,6 +1,5 @@
 package org.otterpond.cargo;
 
-import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.HashSet;
@@ -34,442 +33,483 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Delivers messages: a lane for each service, so that none holds up another; workers picked as for requests. */
+/**
+ * Delivers messages: a lane for each service, so that none holds up another; workers picked as for
+ * requests.
+ */
 public final class Dispatcher implements Courier, Shore {
-    private static final Logger LOG = LoggerFactory.getLogger(Dispatcher.class);
-    private static final String FIXED = "fixed:";
-    private static final int FIXED_SLOTS = 32;
-    private static final long CONNECT = 300_000;
-    private static final long GUARD = 5_000_000;
-    private static final long TURNED_AWAY = 25_000;
-    private static final long FAILED = 60_000;
-    private static final long UNKNOWN = 150_000;
-    private static final long MOST_PAUSE = 3_000_000;
-    private static final long NO_ROOM = 20_000;
-    private static final long UNREADABLE = 500_000;
-    private static final long FULL_SHUN = 60_000;
-    private static final int WANTS = 6;
-
-    private final Quay quay;
-    private final Random random = new Random(ThreadLocalRandom.current().nextLong());
-    private final Fairways fairways;
-    private final Tally tally;
-    private Depot depot;
-    private HarbourNode node;
-    private Stores stores;
-    private Configuration configuration;
-    private int callers = 1;
-    private final Map<String, Lane> lanes = new HashMap<>();
-    private final List<Delivery> unplaced = new ArrayList<>();
-    private final Map<MessageQueue, Integer> underWay = new HashMap<>();
-    private final Map<MessageQueue, Runnable> quieting = new HashMap<>();
-    private final Map<String, Integer> pauses = new HashMap<>();
-    private final Set<String> fixed = new HashSet<>();
-
-    private record Delivery(MessageQueue queue, Message message, int priority, long at) {}
-
-    private static final class Lane {
-        final Fairway fairway;
-        final PriorityQueue<Delivery> waiting = new PriorityQueue<>((a, b) -> a.priority() != b.priority()
-                ? Integer.compare(a.priority(), b.priority()) : Long.compare(a.at(), b.at()));
-        /** The name of its ceiling's tokens, or null. */
-        String ceiling;
-        int tokens;
-        int wants;
-        boolean pumpDue;
-
-        Lane(Fairway fairway) {
-            this.fairway = fairway;
-        }
-    }
-
-    public Dispatcher(Quay quay, Settings settings, Tally tally) {
-        this.quay = quay;
-        this.tally = tally;
-        this.fairways = new Fairways(quay, settings, random, f -> pumpSoon(lane(f.name), 0));
-    }
-
-    public void fit(HarbourNode control, Depot store) {
-        node = control;
-        stores = control.stores();
-        depot = store;
-        depot.fit(control);
+  private static final Logger LOG = LoggerFactory.getLogger(Dispatcher.class);
+  private static final String FIXED = "fixed:";
+  private static final int FIXED_SLOTS = 32;
+  private static final long CONNECT = 300_000;
+  private static final long GUARD = 5_000_000;
+  private static final long TURNED_AWAY = 25_000;
+  private static final long FAILED = 60_000;
+  private static final long UNKNOWN = 150_000;
+  private static final long MOST_PAUSE = 3_000_000;
+  private static final long NO_ROOM = 20_000;
+  private static final long UNREADABLE = 500_000;
+  private static final long FULL_SHUN = 60_000;
+  private static final int WANTS = 6;
+
+  private final Quay quay;
+  private final Random random = new Random(ThreadLocalRandom.current().nextLong());
+  private final Fairways fairways;
+  private final Tally tally;
+  private Depot depot;
+  private HarbourNode node;
+  private Stores stores;
+  private Configuration configuration;
+  private int callers = 1;
+  private final Map<String, Lane> lanes = new HashMap<>();
+  private final List<Delivery> unplaced = new ArrayList<>();
+  private final Map<MessageQueue, Integer> underWay = new HashMap<>();
+  private final Map<MessageQueue, Runnable> quieting = new HashMap<>();
+  private final Map<String, Integer> pauses = new HashMap<>();
+  private final Set<String> fixed = new HashSet<>();
+
+  private record Delivery(MessageQueue queue, Message message, int priority, long at) {}
+
+  private static final class Lane {
+    final Fairway fairway;
+    final PriorityQueue<Delivery> waiting =
+        new PriorityQueue<>(
+            (a, b) ->
+                a.priority() != b.priority()
+                    ? Integer.compare(a.priority(), b.priority())
+                    : Long.compare(a.at(), b.at()));
+
+    /** The name of its ceiling's tokens, or null. */
+    String ceiling;
+
+    int tokens;
+    int wants;
+    boolean pumpDue;
+
+    Lane(Fairway fairway) {
+      this.fairway = fairway;
     }
-
-    private Lane lane(String service) {
-        return lanes.computeIfAbsent(service, s -> {
-            Lane l = new Lane(fairways.of(s));
-            settle(l, s);
-            return l;
+  }
+
+  public Dispatcher(Quay quay, Settings settings, Tally tally) {
+    this.quay = quay;
+    this.tally = tally;
+    this.fairways = new Fairways(quay, settings, random, f -> pumpSoon(lane(f.name), 0));
+  }
+
+  public void fit(HarbourNode control, Depot store) {
+    node = control;
+    stores = control.stores();
+    depot = store;
+    depot.fit(control);
+  }
+
+  private Lane lane(String service) {
+    return lanes.computeIfAbsent(
+        service,
+        s -> {
+          Lane l = new Lane(fairways.of(s));
+          settle(l, s);
+          return l;
         });
-    }
-
-    // ------------------------------------------------------------------ news
-
-    @Override
-    public void configured(Configuration c) {
-        configuration = c;
-        Set<String> now = new HashSet<>();
-        for (Service s : c.services().values()) {
-            if (s.fixedEndpoint() != null) {
-                String id = FIXED + s.name() + "@" + s.fixedEndpoint();
-                now.add(id);
-                if (fixed.add(id)) {
-                    fairways.worker(endpoint(id, s, VesselState.IN_SERVICE));
-                }
-            }
+  }
+
+  // ------------------------------------------------------------------ news
+
+  @Override
+  public void configured(Configuration c) {
+    configuration = c;
+    Set<String> now = new HashSet<>();
+    for (Service s : c.services().values()) {
+      if (s.fixedEndpoint() != null) {
+        String id = FIXED + s.name() + "@" + s.fixedEndpoint();
+        now.add(id);
+        if (fixed.add(id)) {
+          fairways.worker(endpoint(id, s, VesselState.IN_SERVICE));
         }
-        fixed.removeIf(id -> {
-            if (now.contains(id)) {
-                return false;
-            }
-            String service = id.substring(FIXED.length(), id.lastIndexOf('@'));
-            fairways.worker(new Vessel(id, service, id.substring(id.lastIndexOf('@') + 1), "-", "-", 1,
-                    VesselState.GONE, 0, 0));
-            return true;
-        });
-        lanes.forEach((name, l) -> settle(l, name));
-        List<Delivery> again = new ArrayList<>(unplaced);
-        unplaced.clear();
-        // Routes may have moved: what waits is placed anew.
-        lanes.values().forEach(l -> {
-            again.addAll(l.waiting);
-            l.waiting.clear();
-        });
-        quay.after(0, () -> again.forEach(this::place));
-    }
-
-    private Vessel endpoint(String id, Service s, VesselState state) {
-        return new Vessel(id, s.name(), s.fixedEndpoint(), "-", "-", FIXED_SLOTS, state, 0, 0);
-    }
-
-    private void settle(Lane l, String service) {
-        Service s = configuration == null ? null : configuration.services().get(service);
-        l.ceiling = s == null || s.ratePerSecond() <= 0 ? null : Chandlery.ceilingOf(service);
-        l.fairway.connections(s == null ? Integer.MAX_VALUE : s.maxConnections() / callers);
-    }
-
-    @Override
-    public void worker(Vessel v) {
-        fairways.worker(v);
-    }
-
-    @Override
-    public void fleet(Map<String, Integer> nodesInZone, int rank) {
-        callers = Math.max(1, nodesInZone.values().stream().mapToInt(Integer::intValue).sum());
-        fairways.fleet(nodesInZone, rank);
-        lanes.forEach((name, l) -> settle(l, name));
+      }
     }
-
-    @Override
-    public void assigned(Flag entry) {
-        depot.assigned(entry);
-    }
-
-    @Override
-    public void message(String from, Flag f, Consumer<Flag> reply) {
-        depot.message(from, f, reply);
-    }
-
-    @Override
-    public Flag figures() {
-        Flag f = new Flag("figures").with("in_flight", open());
-        depot.figures().forEach(f::with);
-        return f;
-    }
-
-    @Override
-    public void peerLost(String address) {
-        depot.peerLost(address);
-    }
-
-    @Override
-    public Flag outcome(String key, String token) {
-        return null;
+    fixed.removeIf(
+        id -> {
+          if (now.contains(id)) {
+            return false;
+          }
+          String service = id.substring(FIXED.length(), id.lastIndexOf('@'));
+          fairways.worker(
+              new Vessel(
+                  id,
+                  service,
+                  id.substring(id.lastIndexOf('@') + 1),
+                  "-",
+                  "-",
+                  1,
+                  VesselState.GONE,
+                  0,
+                  0));
+          return true;
+        });
+    lanes.forEach((name, l) -> settle(l, name));
+    List<Delivery> again = new ArrayList<>(unplaced);
+    unplaced.clear();
+    // Routes may have moved: what waits is placed anew.
+    lanes
+        .values()
+        .forEach(
+            l -> {
+              again.addAll(l.waiting);
+              l.waiting.clear();
+            });
+    quay.after(0, () -> again.forEach(this::place));
+  }
+
+  private Vessel endpoint(String id, Service s, VesselState state) {
+    return new Vessel(id, s.name(), s.fixedEndpoint(), "-", "-", FIXED_SLOTS, state, 0, 0);
+  }
+
+  private void settle(Lane l, String service) {
+    Service s = configuration == null ? null : configuration.services().get(service);
+    l.ceiling = s == null || s.ratePerSecond() <= 0 ? null : Chandlery.ceilingOf(service);
+    l.fairway.connections(s == null ? Integer.MAX_VALUE : s.maxConnections() / callers);
+  }
+
+  @Override
+  public void worker(Vessel v) {
+    fairways.worker(v);
+  }
+
+  @Override
+  public void fleet(Map<String, Integer> nodesInZone, int rank) {
+    callers = Math.max(1, nodesInZone.values().stream().mapToInt(Integer::intValue).sum());
+    fairways.fleet(nodesInZone, rank);
+    lanes.forEach((name, l) -> settle(l, name));
+  }
+
+  @Override
+  public void assigned(Flag entry) {
+    depot.assigned(entry);
+  }
+
+  @Override
+  public void message(String from, Flag f, Consumer<Flag> reply) {
+    depot.message(from, f, reply);
+  }
+
+  @Override
+  public Flag figures() {
+    Flag f = new Flag("figures").with("in_flight", open());
+    depot.figures().forEach(f::with);
+    return f;
+  }
+
+  @Override
+  public void peerLost(String address) {
+    depot.peerLost(address);
+  }
+
+  @Override
+  public Flag outcome(String key, String token) {
+    return null;
+  }
+
+  // ---------------------------------------------------------------- placing
+
+  @Override
+  public void ready(MessageQueue queue, Message m) {
+    place(new Delivery(queue, m, 0, Quay.now()));
+  }
+
+  private Route route(Message m) {
+    return configuration.route(m.host(), m.path());
+  }
+
+  private void place(Delivery d) {
+    Message m = d.message();
+    if (!d.queue().serving() || m.state() != Message.State.QUEUED) {
+      return;
     }
-
-    // ---------------------------------------------------------------- placing
-
-    @Override
-    public void ready(MessageQueue queue, Message m) {
-        place(new Delivery(queue, m, 0, Quay.now()));
+    if (configuration == null || configuration.revision() < m.revision()) {
+      unplaced.add(d);
+      return;
     }
-
-    private Route route(Message m) {
-        return configuration.route(m.host(), m.path());
+    Route r = route(m);
+    if (r == null) {
+      // A version newer than the one that it was accepted under has dropped its route.
+      LOG.info("event=message_dropped id={} cause=no_route", m.id());
+      depot.ended(d.queue(), m, Message.State.DEAD_LETTER, null);
+      return;
     }
-
-    private void place(Delivery d) {
-        Message m = d.message();
-        if (!d.queue().serving() || m.state() != Message.State.QUEUED) {
-            return;
-        }
-        if (configuration == null || configuration.revision() < m.revision()) {
-            unplaced.add(d);
-            return;
-        }
-        Route r = route(m);
-        if (r == null) {
-            // A version newer than the one that it was accepted under has dropped its route.
-            LOG.info("event=message_dropped id={} cause=no_route", m.id());
-            depot.ended(d.queue(), m, Message.State.DEAD_LETTER, null);
-            return;
-        }
-        Lane l = lane(r.serviceFor((long) (random.nextDouble() * r.totalWeight())));
-        l.waiting.add(new Delivery(d.queue(), m, r.priority(), d.at()));
-        pumpSoon(l, 0);
+    Lane l = lane(r.serviceFor((long) (random.nextDouble() * r.totalWeight())));
+    l.waiting.add(new Delivery(d.queue(), m, r.priority(), d.at()));
+    pumpSoon(l, 0);
+  }
+
+  private void pumpSoon(Lane l, long delay) {
+    if (!l.pumpDue) {
+      l.pumpDue = true;
+      quay.after(
+          delay,
+          () -> {
+            l.pumpDue = false;
+            pump(l);
+          });
     }
-
-    private void pumpSoon(Lane l, long delay) {
-        if (!l.pumpDue) {
-            l.pumpDue = true;
-            quay.after(delay, () -> {
-                l.pumpDue = false;
-                pump(l);
-            });
-        }
+  }
+
+  private void pump(Lane l) {
+    while (!l.waiting.isEmpty()) {
+      Delivery d = l.waiting.peek();
+      if (!d.queue().serving() || d.message().state() != Message.State.QUEUED) {
+        l.waiting.poll();
+        continue;
+      }
+      long now = Quay.now();
+      Hull h = l.fairway.pick(now, Set.of());
+      if (h == null) {
+        pumpSoon(l, NO_ROOM);
+        return;
+      }
+      if (l.ceiling != null && !stores.take(l.ceiling)) {
+        want(l);
+        return;
+      }
+      l.waiting.poll();
+      Route r = route(d.message());
+      deliver(l, d, h, r);
     }
+  }
 
-    private void pump(Lane l) {
-        while (!l.waiting.isEmpty()) {
-            Delivery d = l.waiting.peek();
-            if (!d.queue().serving() || d.message().state() != Message.State.QUEUED) {
-                l.waiting.poll();
-                continue;
-            }
-            long now = Quay.now();
-            Hull h = l.fairway.pick(now, Set.of());
-            if (h == null) {
-                pumpSoon(l, NO_ROOM);
-                return;
-            }
-            if (l.ceiling != null && !stores.take(l.ceiling)) {
-                want(l);
-                return;
-            }
-            l.waiting.poll();
-            Route r = route(d.message());
-            deliver(l, d, h, r);
-        }
+  /** Asks for a token of the service's ceiling; with one the lane goes on. */
+  private void want(Lane l) {
+    if (l.wants >= Math.min(WANTS, l.waiting.size())) {
+      return;
     }
-
-    /** Asks for a token of the service's ceiling; with one the lane goes on. */
-    private void want(Lane l) {
-        if (l.wants >= Math.min(WANTS, l.waiting.size())) {
-            return;
-        }
-        l.wants++;
-        stores.want(l.ceiling, new Stores.Taker() {
-            private boolean done;
-
-            @Override
-            public boolean waits() {
-                return !done;
-            }
-
-            @Override
-            public void taken() {
-                done = true;
-                l.wants--;
-                withToken(l);
-            }
-
-            @Override
-            public void over(double retryAfter) {
-                done = true;
-                l.wants--;
-                quay.after((long) (1e6 * Math.max(0.01, Math.min(0.3, retryAfter))), () -> pump(l));
-            }
+    l.wants++;
+    stores.want(
+        l.ceiling,
+        new Stores.Taker() {
+          private boolean done;
+
+          @Override
+          public boolean waits() {
+            return !done;
+          }
+
+          @Override
+          public void taken() {
+            done = true;
+            l.wants--;
+            withToken(l);
+          }
+
+          @Override
+          public void over(double retryAfter) {
+            done = true;
+            l.wants--;
+            quay.after((long) (1e6 * Math.max(0.01, Math.min(0.3, retryAfter))), () -> pump(l));
+          }
         });
+  }
+
+  private void withToken(Lane l) {
+    while (!l.waiting.isEmpty()) {
+      Delivery d = l.waiting.poll();
+      if (!d.queue().serving() || d.message().state() != Message.State.QUEUED) {
+        continue;
+      }
+      Hull h = l.fairway.pick(Quay.now(), Set.of());
+      if (h == null) {
+        l.waiting.add(d);
+        break;
+      }
+      deliver(l, d, h, route(d.message()));
+      pumpSoon(l, 0);
+      return;
     }
-
-    private void withToken(Lane l) {
-        while (!l.waiting.isEmpty()) {
-            Delivery d = l.waiting.poll();
-            if (!d.queue().serving() || d.message().state() != Message.State.QUEUED) {
-                continue;
-            }
-            Hull h = l.fairway.pick(Quay.now(), Set.of());
-            if (h == null) {
-                l.waiting.add(d);
-                break;
-            }
-            deliver(l, d, h, route(d.message()));
-            pumpSoon(l, 0);
-            return;
-        }
-        if (l.ceiling != null) {
-            stores.giveBack(l.ceiling);
-        }
-        pumpSoon(l, NO_ROOM);
+    if (l.ceiling != null) {
+      stores.giveBack(l.ceiling);
     }
-
-    // --------------------------------------------------------------- delivery
-
-    private void deliver(Lane l, Delivery d, Hull h, Route r) {
-        Message m = d.message();
-        long guard = r == null ? GUARD : r.guardMicros();
-        int attempts = r == null ? 1 : r.maxAttempts();
-        h.took(Quay.now());
-        underWay.merge(d.queue(), 1, Integer::sum);
-        d.queue().whole(m, whole -> {
-            if (whole == null || !d.queue().serving() || h.vessel.state() != VesselState.IN_SERVICE) {
+    pumpSoon(l, NO_ROOM);
+  }
+
+  // --------------------------------------------------------------- delivery
+
+  private void deliver(Lane l, Delivery d, Hull h, Route r) {
+    Message m = d.message();
+    long guard = r == null ? GUARD : r.guardMicros();
+    int attempts = r == null ? 1 : r.maxAttempts();
+    h.took(Quay.now());
+    underWay.merge(d.queue(), 1, Integer::sum);
+    d.queue()
+        .whole(
+            m,
+            whole -> {
+              if (whole == null
+                  || !d.queue().serving()
+                  || h.vessel.state() != VesselState.IN_SERVICE) {
                 over(l, d, h);
                 d.queue().later(m, whole == null ? UNREADABLE : 0);
                 return;
-            }
-            send(l, d, h, whole, guard, attempts);
-        });
+              }
+              send(l, d, h, whole, guard, attempts);
+            });
+  }
+
+  private void over(Lane l, Delivery d, Hull h) {
+    h.released(Quay.now());
+    MessageQueue q = d.queue();
+    if (underWay.merge(q, -1, Integer::sum) <= 0) {
+      underWay.remove(q);
+      Runnable quiet = quieting.remove(q);
+      if (quiet != null) {
+        // After what this delivery has to tell.
+        quay.after(0, quiet);
+      }
     }
-
-    private void over(Lane l, Delivery d, Hull h) {
-        h.released(Quay.now());
-        MessageQueue q = d.queue();
-        if (underWay.merge(q, -1, Integer::sum) <= 0) {
-            underWay.remove(q);
-            Runnable quiet = quieting.remove(q);
-            if (quiet != null) {
-                // After what this delivery has to tell.
-                quay.after(0, quiet);
-            }
-        }
-        pumpSoon(l, 0);
+    pumpSoon(l, 0);
+  }
+
+  private void send(Lane l, Delivery d, Hull h, Flag whole, long guard, int attempts) {
+    Message m = d.message();
+    Missive request = Missive.request(whole.text("method"), m.target());
+    List<String> headers = Message.headers(whole);
+    for (int i = 0; i + 1 < headers.size(); i += 2) {
+      request.header(headers.get(i), headers.get(i + 1));
     }
-
-    private void send(Lane l, Delivery d, Hull h, Flag whole, long guard, int attempts) {
-        Message m = d.message();
-        Missive request = Missive.request(whole.text("method"), m.target());
-        List<String> headers = Message.headers(whole);
-        for (int i = 0; i + 1 < headers.size(); i += 2) {
-            request.header(headers.get(i), headers.get(i + 1));
-        }
-        request.header(Pilotage.TIME_LEFT, Long.toString(Math.max(1, guard / 1000)));
-        if (!h.id().startsWith(FIXED)) {
-            request.header(Pilotage.EXPECTED, h.id());
-        }
-        request.header(Pilotage.TENANT, m.tenant());
-        byte[] body = whole.bytes("body");
-        request.body(body == null ? Missive.EMPTY : body);
-        long sent = Quay.now();
-        tally.forwarded.increment();
-        boolean[] done = {false};
-        Tender[] tender = {null};
-        Quay.Timer timer = quay.after(guard, () -> {
-            if (!done[0]) {
+    request.header(Pilotage.TIME_LEFT, Long.toString(Math.max(1, guard / 1000)));
+    if (!h.id().startsWith(FIXED)) {
+      request.header(Pilotage.EXPECTED, h.id());
+    }
+    request.header(Pilotage.TENANT, m.tenant());
+    byte[] body = whole.bytes("body");
+    request.body(body == null ? Missive.EMPTY : body);
+    long sent = Quay.now();
+    tally.forwarded.increment();
+    boolean[] done = {false};
+    Tender[] tender = {null};
+    Quay.Timer timer =
+        quay.after(
+            guard,
+            () -> {
+              if (!done[0]) {
                 done[0] = true;
                 if (tender[0] != null) {
-                    tender[0].abandon();
+                  tender[0].abandon();
                 }
                 over(l, d, h);
                 tally.timeouts.increment();
                 again(d, UNKNOWN);
-            }
-        });
-        tender[0] = h.pool.send(request, Math.min(CONNECT, guard), Long.MAX_VALUE, new Reception() {
-            @Override
-            public void answered(Missive answer) {
+              }
+            });
+    tender[0] =
+        h.pool.send(
+            request,
+            Math.min(CONNECT, guard),
+            Long.MAX_VALUE,
+            new Reception() {
+              @Override
+              public void answered(Missive answer) {
                 if (!done[0]) {
-                    done[0] = true;
-                    timer.cancel();
-                    onAnswer(l, d, h, answer, sent, attempts);
-                    over(l, d, h);
+                  done[0] = true;
+                  timer.cancel();
+                  onAnswer(l, d, h, answer, sent, attempts);
+                  over(l, d, h);
                 }
-            }
+              }
 
-            @Override
-            public void failed(boolean written, String why) {
+              @Override
+              public void failed(boolean written, String why) {
                 if (!done[0]) {
-                    done[0] = true;
-                    timer.cancel();
-                    h.failed(Quay.now());
-                    tally.failures.increment();
-                    again(d, written ? UNKNOWN : TURNED_AWAY);
-                    over(l, d, h);
+                  done[0] = true;
+                  timer.cancel();
+                  h.failed(Quay.now());
+                  tally.failures.increment();
+                  again(d, written ? UNKNOWN : TURNED_AWAY);
+                  over(l, d, h);
                 }
-            }
-        });
+              }
+            });
+  }
+
+  private void onAnswer(Lane l, Delivery d, Hull h, Missive answer, long sent, int attempts) {
+    Message m = d.message();
+    long now = Quay.now();
+    int status = answer.status();
+    if (answer.first(Pilotage.NOT_EXECUTED) != null || status == 421) {
+      tally.turnedAway.increment();
+      if (status == 421) {
+        h.failed(now);
+      } else if (status == 503) {
+        h.shunUntil = now + FULL_SHUN;
+      }
+      again(d, TURNED_AWAY);
+      return;
     }
-
-    private void onAnswer(Lane l, Delivery d, Hull h, Missive answer, long sent, int attempts) {
-        Message m = d.message();
-        long now = Quay.now();
-        int status = answer.status();
-        if (answer.first(Pilotage.NOT_EXECUTED) != null || status == 421) {
-            tally.turnedAway.increment();
-            if (status == 421) {
-                h.failed(now);
-            } else if (status == 503) {
-                h.shunUntil = now + FULL_SHUN;
-            }
-            again(d, TURNED_AWAY);
-            return;
-        }
-        h.worked(now);
-        l.fairway.pace.answered(now - sent);
-        if (status / 100 == 2 && answer.first(Pilotage.SEAL) != null) {
-            tally.answered.increment();
-            pauses.remove(m.id());
-            depot.ended(d.queue(), m, Message.State.COMPLETED, answer.first(Pilotage.SEAL));
-        } else if (status == 422) {
-            pauses.remove(m.id());
-            depot.ended(d.queue(), m, Message.State.DEAD_LETTER, null);
-        } else if (status == 500) {
-            depot.tried(d.queue(), m);
-            if (m.attempts() >= attempts) {
-                pauses.remove(m.id());
-                LOG.info("event=message_dead id={} attempts={}", m.id(), m.attempts());
-                depot.ended(d.queue(), m, Message.State.DEAD_LETTER, null);
-            } else {
-                again(d, FAILED);
-            }
-        } else {
-            again(d, UNKNOWN);
-        }
+    h.worked(now);
+    l.fairway.pace.answered(now - sent);
+    if (status / 100 == 2 && answer.first(Pilotage.SEAL) != null) {
+      tally.answered.increment();
+      pauses.remove(m.id());
+      depot.ended(d.queue(), m, Message.State.COMPLETED, answer.first(Pilotage.SEAL));
+    } else if (status == 422) {
+      pauses.remove(m.id());
+      depot.ended(d.queue(), m, Message.State.DEAD_LETTER, null);
+    } else if (status == 500) {
+      depot.tried(d.queue(), m);
+      if (m.attempts() >= attempts) {
+        pauses.remove(m.id());
+        LOG.info("event=message_dead id={} attempts={}", m.id(), m.attempts());
+        depot.ended(d.queue(), m, Message.State.DEAD_LETTER, null);
+      } else {
+        again(d, FAILED);
+      }
+    } else {
+      again(d, UNKNOWN);
     }
-
-    /** After a pause that grows with each time and is spread. */
-    private void again(Delivery d, long pause) {
-        Message m = d.message();
-        if (!d.queue().serving() || m.state() != Message.State.QUEUED) {
-            pauses.remove(m.id());
-            d.queue().later(m, pause);
-            return;
-        }
-        tally.retries.increment();
-        int n = Math.min(6, pauses.merge(m.id(), 1, Integer::sum) - 1);
-        long most = Math.min(MOST_PAUSE, pause << n);
-        d.queue().later(m, most / 2 + (long) (most * random.nextDouble() / 2));
+  }
+
+  /** After a pause that grows with each time and is spread. */
+  private void again(Delivery d, long pause) {
+    Message m = d.message();
+    if (!d.queue().serving() || m.state() != Message.State.QUEUED) {
+      pauses.remove(m.id());
+      d.queue().later(m, pause);
+      return;
     }
-
-    @Override
-    public void stop(MessageQueue queue, Runnable quiet) {
-        for (Lane l : lanes.values()) {
-            drop(l.waiting.iterator(), queue);
-        }
-        drop(unplaced.iterator(), queue);
-        if (underWay.containsKey(queue)) {
-            quieting.put(queue, quiet);
-        } else {
-            quiet.run();
-        }
+    tally.retries.increment();
+    int n = Math.min(6, pauses.merge(m.id(), 1, Integer::sum) - 1);
+    long most = Math.min(MOST_PAUSE, pause << n);
+    d.queue().later(m, most / 2 + (long) (most * random.nextDouble() / 2));
+  }
+
+  @Override
+  public void stop(MessageQueue queue, Runnable quiet) {
+    for (Lane l : lanes.values()) {
+      drop(l.waiting.iterator(), queue);
     }
-
-    private static void drop(Iterator<Delivery> it, MessageQueue queue) {
-        while (it.hasNext()) {
-            Delivery d = it.next();
-            if (d.queue() == queue) {
-                it.remove();
-                queue.later(d.message(), 0);
-            }
-        }
+    drop(unplaced.iterator(), queue);
+    if (underWay.containsKey(queue)) {
+      quieting.put(queue, quiet);
+    } else {
+      quiet.run();
     }
+  }
+
+  private static void drop(Iterator<Delivery> it, MessageQueue queue) {
+    while (it.hasNext()) {
+      Delivery d = it.next();
+      if (d.queue() == queue) {
+        it.remove();
+        queue.later(d.message(), 0);
+      }
+    }
+  }
 
-    /** Deliveries under way. */
-    public int open() {
-        int n = 0;
-        for (int i : underWay.values()) {
-            n += i;
-        }
-        return n;
+  /** Deliveries under way. */
+  public int open() {
+    int n = 0;
+    for (int i : underWay.values()) {
+      n += i;
     }
+    return n;
+  }
 }
--- a/src/main/java/org/otterpond/cargo/Intake.java
+++ b/src/main/java/org/otterpond/cargo/Intake.java
@@ -24,320 +24,358 @@
 import org.otterpond.replica.GroupView;
 import org.otterpond.signal.Flag;
 
-/** Takes messages in: finds the partition, hands the message to its primary, answers 202 once all replicas have it. */
+/**
+ * Takes messages in: finds the partition, hands the message to its primary, answers 202 once all
+ * replicas have it.
+ */
 final class Intake {
-    static final String MESSAGE_ID = "X-Otterpond-Message-Id";
-    private static final String ORDER = "X-Otterpond-Ordering-Key";
-    private static final String NOT_BEFORE = "X-Otterpond-Not-Before";
-    private static final String PARTITION = "partition:";
-    private static final String STATE = "/-/message/";
-    private static final String BODY = "/-/message-body/";
-    private static final long DEFAULT_LEFT = 2_000_000;
-    private static final long KEEP = 3_600_000_000L;
-    private static final long AGAIN = 40_000;
-    private static final long ASK = 600_000;
-    private static final long ANSWER_MARGIN = 15_000;
-    private static final long QUESTION = 1_800_000;
-    private static final long QUESTION_ASK = 500_000;
-    private static final long MOST_DELAY = 30L * 86_400 * 1_000_000;
-    private static final double REFUSE_AT = 0.45;
+  static final String MESSAGE_ID = "X-Otterpond-Message-Id";
+  private static final String ORDER = "X-Otterpond-Ordering-Key";
+  private static final String NOT_BEFORE = "X-Otterpond-Not-Before";
+  private static final String PARTITION = "partition:";
+  private static final String STATE = "/-/message/";
+  private static final String BODY = "/-/message-body/";
+  private static final long DEFAULT_LEFT = 2_000_000;
+  private static final long KEEP = 3_600_000_000L;
+  private static final long AGAIN = 40_000;
+  private static final long ASK = 600_000;
+  private static final long ANSWER_MARGIN = 15_000;
+  private static final long QUESTION = 1_800_000;
+  private static final long QUESTION_ASK = 500_000;
+  private static final long MOST_DELAY = 30L * 86_400 * 1_000_000;
+  private static final double REFUSE_AT = 0.45;
 
-    private final Quay quay;
-    private final HarbourNode node;
-    private final Stores stores;
-    private final Random random;
-    private final String life;
-    private final Tally tally;
-    private final Map<Integer, GroupView> partitions = new HashMap<>();
-    private int count;
-    private long number;
-    private final Set<Handover> inHand = new LinkedHashSet<>();
+  private final Quay quay;
+  private final HarbourNode node;
+  private final Stores stores;
+  private final Random random;
+  private final String life;
+  private final Tally tally;
+  private final Map<Integer, GroupView> partitions = new HashMap<>();
+  private int count;
+  private long number;
+  private final Set<Handover> inHand = new LinkedHashSet<>();
 
-    /** One message on its way to its partition's primary. */
-    private static final class Handover {
-        Call call;
-        int group;
-        Flag message;
-        String tenant;
-        boolean paid;
-        long refuseAt;
-        long deadline;
-        /** A primary may have it although it never said so. */
-        boolean doubtful;
-        boolean asked;
-        boolean done;
-    }
+  /** One message on its way to its partition's primary. */
+  private static final class Handover {
+    Call call;
+    int group;
+    Flag message;
+    String tenant;
+    boolean paid;
+    long refuseAt;
+    long deadline;
 
-    Intake(Quay quay, HarbourNode node, Random random, long life, Tally tally) {
-        this.quay = quay;
-        this.node = node;
-        this.stores = node.stores();
-        this.random = random;
-        this.life = Long.toHexString(life);
-        this.tally = tally;
-    }
+    /** A primary may have it although it never said so. */
+    boolean doubtful;
 
-    int open() {
-        return inHand.size();
-    }
+    boolean asked;
+    boolean done;
+  }
 
-    void assigned(Flag entry) {
-        if (entry.text("key").startsWith(PARTITION)) {
-            GroupView v = GroupView.of(entry);
-            partitions.put(v.group(), v);
-            count = (int) entry.number("of");
-        }
-    }
+  Intake(Quay quay, HarbourNode node, Random random, long life, Tally tally) {
+    this.quay = quay;
+    this.node = node;
+    this.stores = node.stores();
+    this.random = random;
+    this.life = Long.toHexString(life);
+    this.tally = tally;
+  }
+
+  int open() {
+    return inHand.size();
+  }
 
-    /** Whether a path asks for a message. */
-    static boolean asks(String path) {
-        return path.startsWith(STATE) || path.startsWith(BODY);
+  void assigned(Flag entry) {
+    if (entry.text("key").startsWith(PARTITION)) {
+      GroupView v = GroupView.of(entry);
+      partitions.put(v.group(), v);
+      count = (int) entry.number("of");
     }
+  }
 
-    // ---------------------------------------------------------------- accept
+  /** Whether a path asks for a message. */
+  static boolean asks(String path) {
+    return path.startsWith(STATE) || path.startsWith(BODY);
+  }
 
-    void take(Call call, Route route, Shipper shipper, Configuration c) {
-        Missive r = call.request();
-        String order = r.first(ORDER);
-        if (route.ordered() && (order == null || order.isEmpty())) {
-            call.answer(Replies.problem(400, ORDER + ": missing on a route that keeps the order"));
-            return;
-        }
-        long left;
-        long delay;
-        try {
-            left = Pilotage.timeLeft(r, DEFAULT_LEFT);
-            delay = delay(r);
-        } catch (NumberFormatException e) {
-            call.answer(Replies.problem(400, e.getMessage()));
-            return;
-        }
-        String operation = r.first(Pilotage.KEY);
-        String tenant = shipper == null ? null : shipper.name();
-        Handover h = new Handover();
-        h.call = call;
-        h.tenant = tenant;
-        h.deadline = call.receivedAt() + left - ANSWER_MARGIN;
-        h.refuseAt = call.receivedAt() + (long) (left * REFUSE_AT);
-        String own = life + "." + Long.toHexString(++number);
-        // Messages of one order, and tries of one operation, meet in one partition.
-        String by = route.ordered() ? "order " + order : operation != null ? "operation " + operation : "id " + own;
-        if (count == 0) {
-            tally.refused.increment();
-            call.answer(Replies.unavailable("no partitions yet", 0.3));
-            return;
-        }
-        h.group = Math.floorMod(Hashing.murmur3_32_fixed().hashString((tenant == null ? "" : tenant) + "\n" + by,
-                StandardCharsets.UTF_8).asInt(), count);
-        h.message = new Flag("put").with("id", h.group + "." + own).with("tenant", tenant)
-                .with("order", route.ordered() ? order : null).with("op", operation)
-                .with("host", r.first("Host").toLowerCase(Locale.ROOT)).with("method", r.method())
-                .with("target", r.target()).with("headers", headers(r, c.closed())).with("body", r.body())
-                .with("delay", delay > 0 ? delay : null)
-                .with("keep", route.keepMicros() > 0 ? route.keepMicros() : KEEP).with("cfg", c.revision());
-        inHand.add(h);
-        if (shipper != null && shipper.limited()) {
-            pay(h, shipper);
-        } else {
-            hand(h);
-        }
+  // ---------------------------------------------------------------- accept
+
+  void take(Call call, Route route, Shipper shipper, Configuration c) {
+    Missive r = call.request();
+    String order = r.first(ORDER);
+    if (route.ordered() && (order == null || order.isEmpty())) {
+      call.answer(Replies.problem(400, ORDER + ": missing on a route that keeps the order"));
+      return;
+    }
+    long left;
+    long delay;
+    try {
+      left = Pilotage.timeLeft(r, DEFAULT_LEFT);
+      delay = delay(r);
+    } catch (NumberFormatException e) {
+      call.answer(Replies.problem(400, e.getMessage()));
+      return;
+    }
+    String operation = r.first(Pilotage.KEY);
+    String tenant = shipper == null ? null : shipper.name();
+    Handover h = new Handover();
+    h.call = call;
+    h.tenant = tenant;
+    h.deadline = call.receivedAt() + left - ANSWER_MARGIN;
+    h.refuseAt = call.receivedAt() + (long) (left * REFUSE_AT);
+    String own = life + "." + Long.toHexString(++number);
+    // Messages of one order, and tries of one operation, meet in one partition.
+    String by =
+        route.ordered()
+            ? "order " + order
+            : operation != null ? "operation " + operation : "id " + own;
+    if (count == 0) {
+      tally.refused.increment();
+      call.answer(Replies.unavailable("no partitions yet", 0.3));
+      return;
     }
+    h.group =
+        Math.floorMod(
+            Hashing.murmur3_32_fixed()
+                .hashString((tenant == null ? "" : tenant) + "\n" + by, StandardCharsets.UTF_8)
+                .asInt(),
+            count);
+    h.message =
+        new Flag("put")
+            .with("id", h.group + "." + own)
+            .with("tenant", tenant)
+            .with("order", route.ordered() ? order : null)
+            .with("op", operation)
+            .with("host", r.first("Host").toLowerCase(Locale.ROOT))
+            .with("method", r.method())
+            .with("target", r.target())
+            .with("headers", headers(r, c.closed()))
+            .with("body", r.body())
+            .with("delay", delay > 0 ? delay : null)
+            .with("keep", route.keepMicros() > 0 ? route.keepMicros() : KEEP)
+            .with("cfg", c.revision());
+    inHand.add(h);
+    if (shipper != null && shipper.limited()) {
+      pay(h, shipper);
+    } else {
+      hand(h);
+    }
+  }
 
-    private static long delay(Missive r) {
-        String told = r.first(NOT_BEFORE);
-        if (told == null) {
-            return 0;
-        }
-        double ms;
-        try {
-            ms = Double.parseDouble(told.trim());
-        } catch (NumberFormatException e) {
-            throw new NumberFormatException(NOT_BEFORE + ": a number of milliseconds is wanted");
-        }
-        if (!(ms >= 0) || 1000 * ms > MOST_DELAY) {
-            throw new NumberFormatException(NOT_BEFORE + ": outside 0 to 30 days");
-        }
-        return (long) Math.ceil(1000 * ms);
+  private static long delay(Missive r) {
+    String told = r.first(NOT_BEFORE);
+    if (told == null) {
+      return 0;
+    }
+    double ms;
+    try {
+      ms = Double.parseDouble(told.trim());
+    } catch (NumberFormatException e) {
+      throw new NumberFormatException(NOT_BEFORE + ": a number of milliseconds is wanted");
     }
+    if (!(ms >= 0) || 1000 * ms > MOST_DELAY) {
+      throw new NumberFormatException(NOT_BEFORE + ": outside 0 to 30 days");
+    }
+    return (long) Math.ceil(1000 * ms);
+  }
 
-    /** What goes along to the worker, as name, value, name, value. */
-    private static List<Object> headers(Missive r, boolean tenanted) {
-        Missive m = Missive.request(r.method(), r.target());
-        Pilotage.copyHeaders(r, m, true);
-        if (tenanted) {
-            m.headers().removeHeaders(Pilotage.AUTHORIZATION);
-        }
-        List<Object> out = new ArrayList<>();
-        for (Header h : m.headers().getHeaders()) {
-            out.add(h.getName());
-            out.add(h.getValue());
-        }
-        return out;
+  /** What goes along to the worker, as name, value, name, value. */
+  private static List<Object> headers(Missive r, boolean tenanted) {
+    Missive m = Missive.request(r.method(), r.target());
+    Pilotage.copyHeaders(r, m, true);
+    if (tenanted) {
+      m.headers().removeHeaders(Pilotage.AUTHORIZATION);
+    }
+    List<Object> out = new ArrayList<>();
+    for (Header h : m.headers().getHeaders()) {
+      out.add(h.getName());
+      out.add(h.getValue());
     }
+    return out;
+  }
 
-    private void pay(Handover h, Shipper shipper) {
-        Stores.Taker taker = new Stores.Taker() {
-            private boolean over;
+  private void pay(Handover h, Shipper shipper) {
+    Stores.Taker taker =
+        new Stores.Taker() {
+          private boolean over;
 
-            @Override
-            public boolean waits() {
-                return !over && !h.paid && !h.done;
-            }
+          @Override
+          public boolean waits() {
+            return !over && !h.paid && !h.done;
+          }
 
-            @Override
-            public void taken() {
-                h.paid = true;
-                hand(h);
-            }
+          @Override
+          public void taken() {
+            h.paid = true;
+            hand(h);
+          }
 
-            @Override
-            public void over(double retryAfter) {
-                over = true;
-                tally.overQuota.increment();
-                finish(h, Replies.overQuota("the tenant's quota is used up", retryAfter));
-            }
+          @Override
+          public void over(double retryAfter) {
+            over = true;
+            tally.overQuota.increment();
+            finish(h, Replies.overQuota("the tenant's quota is used up", retryAfter));
+          }
         };
-        stores.want(shipper.name(), taker);
-        quay.after(h.refuseAt - Quay.now(), () -> {
-            if (taker.waits()) {
-                refuse(h, "the quota's owner did not answer in time");
-            }
+    stores.want(shipper.name(), taker);
+    quay.after(
+        h.refuseAt - Quay.now(),
+        () -> {
+          if (taker.waits()) {
+            refuse(h, "the quota's owner did not answer in time");
+          }
         });
-    }
+  }
 
-    private void hand(Handover h) {
-        long now = Quay.now();
-        if (h.done) {
-            return;
-        }
-        if (now >= h.deadline) {
-            giveUp(h);
-            return;
-        }
-        if (!h.doubtful && now >= h.refuseAt) {
-            refuse(h, "the partition has no primary now");
-            return;
-        }
-        GroupView v = partitions.get(h.group);
-        if (v == null) {
-            quay.after(AGAIN, () -> hand(h));
-            return;
-        }
-        h.asked = true;
-        String primary = GroupView.addressOf(v.primary());
-        node.askNode(primary, new Flag("m.put").with("group", h.group).with("message", h.message),
-                Math.min(ASK, h.deadline - now), r -> answered(h, r));
+  private void hand(Handover h) {
+    long now = Quay.now();
+    if (h.done) {
+      return;
     }
-
-    private void answered(Handover h, Flag r) {
-        h.asked = false;
-        if (h.done) {
-            return;
-        }
-        if (r != null && r.has("taken")) {
-            h.paid = false;
-            tally.answered.increment();
-            finish(h, Missive.response(202).header(MESSAGE_ID, r.text("taken")).header("Content-Type",
-                    "application/json").body("{}".getBytes(StandardCharsets.UTF_8)));
-            return;
-        }
-        // Silence proves nothing; "no" says that this ask has left nothing behind.
-        h.doubtful |= r == null;
-        if (r != null && "full".equals(r.text("no")) && !h.doubtful) {
-            refuse(h, "the partition takes no more now");
-            return;
-        }
-        if (Quay.now() + AGAIN >= h.deadline) {
-            giveUp(h);
-        } else {
-            quay.after(AGAIN, () -> hand(h));
-        }
+    if (now >= h.deadline) {
+      giveUp(h);
+      return;
+    }
+    if (!h.doubtful && now >= h.refuseAt) {
+      refuse(h, "the partition has no primary now");
+      return;
     }
+    GroupView v = partitions.get(h.group);
+    if (v == null) {
+      quay.after(AGAIN, () -> hand(h));
+      return;
+    }
+    h.asked = true;
+    String primary = GroupView.addressOf(v.primary());
+    node.askNode(
+        primary,
+        new Flag("m.put").with("group", h.group).with("message", h.message),
+        Math.min(ASK, h.deadline - now),
+        r -> answered(h, r));
+  }
 
-    private void giveUp(Handover h) {
-        if (h.doubtful) {
-            tally.timeouts.increment();
-            finish(h, Replies.problem(502, "whether the message was taken is not known"));
-        } else {
-            refuse(h, "the message could not be stored in time");
-        }
+  private void answered(Handover h, Flag r) {
+    h.asked = false;
+    if (h.done) {
+      return;
+    }
+    if (r != null && r.has("taken")) {
+      h.paid = false;
+      tally.answered.increment();
+      finish(
+          h,
+          Missive.response(202)
+              .header(MESSAGE_ID, r.text("taken"))
+              .header("Content-Type", "application/json")
+              .body("{}".getBytes(StandardCharsets.UTF_8)));
+      return;
+    }
+    // Silence proves nothing; "no" says that this ask has left nothing behind.
+    h.doubtful |= r == null;
+    if (r != null && "full".equals(r.text("no")) && !h.doubtful) {
+      refuse(h, "the partition takes no more now");
+      return;
+    }
+    if (Quay.now() + AGAIN >= h.deadline) {
+      giveUp(h);
+    } else {
+      quay.after(AGAIN, () -> hand(h));
     }
+  }
 
-    /** Promises that the message was not taken and never will be. */
-    private void refuse(Handover h, String cause) {
-        tally.refused.increment();
-        finish(h, Replies.unavailable(cause, 0.1 + 0.2 * random.nextDouble()));
+  private void giveUp(Handover h) {
+    if (h.doubtful) {
+      tally.timeouts.increment();
+      finish(h, Replies.problem(502, "whether the message was taken is not known"));
+    } else {
+      refuse(h, "the message could not be stored in time");
     }
+  }
 
-    private void finish(Handover h, Missive answer) {
-        if (h.done) {
-            return;
-        }
-        h.done = true;
-        inHand.remove(h);
-        if (h.paid) {
-            stores.giveBack(h.tenant);
-        }
-        h.call.answer(answer);
+  /** Promises that the message was not taken and never will be. */
+  private void refuse(Handover h, String cause) {
+    tally.refused.increment();
+    finish(h, Replies.unavailable(cause, 0.1 + 0.2 * random.nextDouble()));
+  }
+
+  private void finish(Handover h, Missive answer) {
+    if (h.done) {
+      return;
+    }
+    h.done = true;
+    inHand.remove(h);
+    if (h.paid) {
+      stores.giveBack(h.tenant);
     }
+    h.call.answer(answer);
+  }
 
-    /** The node ends: whoever still waits gets an answer. */
-    void endAll() {
-        for (Handover h : new ArrayList<>(inHand)) {
-            h.doubtful |= h.asked;
-            giveUp(h);
-        }
+  /** The node ends: whoever still waits gets an answer. */
+  void endAll() {
+    for (Handover h : new ArrayList<>(inHand)) {
+      h.doubtful |= h.asked;
+      giveUp(h);
     }
+  }
 
-    // ------------------------------------------------------------- questions
+  // ------------------------------------------------------------- questions
 
-    void question(Call call, Shipper shipper) {
-        Missive r = call.request();
-        boolean body = r.path().startsWith(BODY);
-        String id = r.path().substring((body ? BODY : STATE).length());
-        if (!r.method().equals("GET")) {
-            call.answer(Replies.problem(405, "GET is wanted").header("Allow", "GET"));
-            return;
-        }
-        int dot = id.indexOf('.');
-        int group;
-        try {
-            group = Integer.parseInt(id.substring(0, Math.max(0, dot)));
-        } catch (NumberFormatException e) {
-            group = -1;
-        }
-        if (id.length() > 64 || !partitions.containsKey(group)) {
-            call.answer(Replies.problem(404, "no such message"));
-            return;
-        }
-        Flag ask = new Flag(body ? "m.body" : "m.state").with("group", group).with("id", id)
-                .with("tenant", shipper == null ? null : shipper.name());
-        question(call, group, ask, call.receivedAt() + QUESTION);
+  void question(Call call, Shipper shipper) {
+    Missive r = call.request();
+    boolean body = r.path().startsWith(BODY);
+    String id = r.path().substring((body ? BODY : STATE).length());
+    if (!r.method().equals("GET")) {
+      call.answer(Replies.problem(405, "GET is wanted").header("Allow", "GET"));
+      return;
+    }
+    int dot = id.indexOf('.');
+    int group;
+    try {
+      group = Integer.parseInt(id.substring(0, Math.max(0, dot)));
+    } catch (NumberFormatException e) {
+      group = -1;
     }
+    if (id.length() > 64 || !partitions.containsKey(group)) {
+      call.answer(Replies.problem(404, "no such message"));
+      return;
+    }
+    Flag ask =
+        new Flag(body ? "m.body" : "m.state")
+            .with("group", group)
+            .with("id", id)
+            .with("tenant", shipper == null ? null : shipper.name());
+    question(call, group, ask, call.receivedAt() + QUESTION);
+  }
 
-    private void question(Call call, int group, Flag ask, long until) {
-        long now = Quay.now();
-        if (now > until - AGAIN) {
-            call.answer(Replies.unavailable("the partition has no primary now", 0.2));
-            return;
-        }
-        node.askNode(GroupView.addressOf(partitions.get(group).primary()), ask, Math.min(QUESTION_ASK, until - now),
-                a -> {
-                    if (a == null || a.has("no")) {
-                        quay.after(AGAIN, () -> question(call, group, ask, until));
-                    } else if (a.truth("unknown")) {
-                        call.answer(Replies.problem(404, "no such message"));
-                    } else if (a.has("body")) {
-                        call.answer(Missive.response(200).header("Content-Type", "application/octet-stream")
-                                .body(a.bytes("body")));
-                    } else {
-                        JsonObject o = new JsonObject();
-                        o.addProperty("state", a.text("state").toLowerCase(Locale.ROOT));
-                        if (a.has("seal")) {
-                            o.addProperty("timestamp", a.text("seal"));
-                        }
-                        call.answer(Replies.json(200, o.toString()));
-                    }
-                });
+  private void question(Call call, int group, Flag ask, long until) {
+    long now = Quay.now();
+    if (now > until - AGAIN) {
+      call.answer(Replies.unavailable("the partition has no primary now", 0.2));
+      return;
     }
+    node.askNode(
+        GroupView.addressOf(partitions.get(group).primary()),
+        ask,
+        Math.min(QUESTION_ASK, until - now),
+        a -> {
+          if (a == null || a.has("no")) {
+            quay.after(AGAIN, () -> question(call, group, ask, until));
+          } else if (a.truth("unknown")) {
+            call.answer(Replies.problem(404, "no such message"));
+          } else if (a.has("body")) {
+            call.answer(
+                Missive.response(200)
+                    .header("Content-Type", "application/octet-stream")
+                    .body(a.bytes("body")));
+          } else {
+            JsonObject o = new JsonObject();
+            o.addProperty("state", a.text("state").toLowerCase(Locale.ROOT));
+            if (a.has("seal")) {
+              o.addProperty("timestamp", a.text("seal"));
+            }
+            call.answer(Replies.json(200, o.toString()));
+          }
+        });
+  }
 }
--- a/src/main/java/org/otterpond/cargo/Pace.java
+++ b/src/main/java/org/otterpond/cargo/Pace.java
@@ -1,22 +1,29 @@
 package org.otterpond.cargo;
 
-/** How long a service usually takes to answer, as this node sees it: a moving mean over its latest answers. */
+/**
+ * How long a service usually takes to answer, as this node sees it: a moving mean over its latest
+ * answers.
+ */
 final class Pace {
-    private static final int MEMORY = 64;
-    /** A long answer counts as this many usual ones at most, so that a few slow workers do not pass for the usual. */
-    private static final double LONGEST = 3;
+  private static final int MEMORY = 64;
 
-    private double mean;
-    private int seen;
+  /**
+   * A long answer counts as this many usual ones at most, so that a few slow workers do not pass
+   * for the usual.
+   */
+  private static final double LONGEST = 3;
 
-    void answered(long micros) {
-        double counted = seen < MEMORY / 4 ? micros : Math.min(micros, LONGEST * mean);
-        seen = Math.min(seen + 1, MEMORY);
-        mean += (counted - mean) / seen;
-    }
+  private double mean;
+  private int seen;
 
-    /** In microseconds; 0 as long as nothing has been answered. */
-    double usual() {
-        return mean;
-    }
+  void answered(long micros) {
+    double counted = seen < MEMORY / 4 ? micros : Math.min(micros, LONGEST * mean);
+    seen = Math.min(seen + 1, MEMORY);
+    mean += (counted - mean) / seen;
+  }
+
+  /** In microseconds; 0 as long as nothing has been answered. */
+  double usual() {
+    return mean;
+  }
 }
--- a/src/main/java/org/otterpond/cargo/Pilotage.java
+++ b/src/main/java/org/otterpond/cargo/Pilotage.java
@@ -19,12 +19,12 @@
 import org.otterpond.harbour.HarbourNode;
 import org.otterpond.harbour.Shore;
 import org.otterpond.harbour.Stores;
+import org.otterpond.harbour.Vessel;
 import org.otterpond.keys.KeeperHost;
 import org.otterpond.keys.KeyHeat;
 import org.otterpond.keys.KeyRange;
 import org.otterpond.keys.RangeState;
 import org.otterpond.keys.RangeTable;
-import org.otterpond.harbour.Vessel;
 import org.otterpond.quay.Call;
 import org.otterpond.quay.CallHandler;
 import org.otterpond.quay.Missive;
@@ -37,972 +37,1119 @@
 
 /** The data path of one node: routes a request, picks a worker, forwards, answers. */
 public final class Pilotage implements CallHandler, Shore {
-    private static final Logger LOG = LoggerFactory.getLogger(Pilotage.class);
-
-    static final String ATTEMPT_ID = "X-Otterpond-Attempt-Id";
-    static final String TIME_LEFT = "X-Otterpond-Time-Remaining";
-    static final String KEY = "X-Otterpond-Operation-Key";
-    static final String SEAL = "X-Otterpond-Server-Seal";
-    static final String EXPECTED = "X-Otterpond-Expected-Instance";
-    static final String TENANT = "X-Otterpond-Tenant-Id";
-    static final String PARTITION_KEY = "X-Otterpond-Partition-Key";
-    static final String AUTHORIZATION = "Authorization";
-    static final String NOT_EXECUTED = "X-Otterpond-Not-Executed";
-
-    private static final Set<String> HOP = Set.of("connection", "keep-alive", "proxy-connection", "te", "trailer",
-            "transfer-encoding", "upgrade", "content-length", "expect", "proxy-authenticate", "proxy-authorization");
-
-    /** Headers of a request that this system speaks for, whatever the client sent. */
-    private static final Set<String> OWN = Set.of(TIME_LEFT.toLowerCase(Locale.ROOT),
-            EXPECTED.toLowerCase(Locale.ROOT), TENANT.toLowerCase(Locale.ROOT));
-
-    /** Headers that neither side may declare to be of one connection only: whose answer it is follows from them. */
-    private static final String ANSWERS_ARE_KNOWN_BY = "x-otterpond-";
-
-    private static final long DEFAULT_AIM = 400_000;
-    private static final long CONNECT = 250_000;
-    private static final long FULL_SHUN = 60_000;
-    private static final long WAIT_CHECK = 10_000;
-    private static final long CLAIM_LEAST = 50_000;
-    private static final long PARK_MOST = 600_000;
-    private static final long FETCH = 400_000;
-    private static final long LEAST_LEFT = 5_000;
-    private static final long REVOKE_MARGIN = 250_000;
-    /** In seconds: another node can take it at once. */
-    private static final double LEFT_RETRY = 0.01;
-    /** A request that may run once goes on a connection that has just been used, or on a new one. */
-    private static final long IDLE_ONCE = 150_000;
-    /** A request earns this much of the ratio, as it can be spent in its own window or in the next. */
-    private static final double EARNED = 0.45;
-    private static final String BEARER = "Bearer ";
-    private static final long OWNER_AGAIN = 25_000;
-    private static final long WORK_ASKED_AGAIN = 100_000;
-    private static final long UNRUN_ASKED_AGAIN = 10_000;
-
-    private final Quay quay;
-    private final Settings settings;
-    private final HarbourNode node;
-    private final Random random;
-    private final Fairways fairways;
-    private final long life;
-    private final Tally tally;
-    private final Locker locker;
-    private final UnrunClaims unrun;
-    private final Stores stores;
-    private final Intake intake;
-    private final RangeTable ranges = new RangeTable();
-    private final KeyHeat.Meter meter = new KeyHeat.Meter();
-    private final WorkerCalls workerCalls;
-    /** The claims whose runs are not settled yet. */
-    private final Set<String> atWork = new HashSet<>();
-    private final Set<Call> parked = new LinkedHashSet<>();
-    private final long keysTrusted;
-
-    private Configuration configuration;
-    private boolean leaving;
-    private long tokenNumber;
-    private boolean waitCheckDue;
-    private final Set<Passage> inHand = new LinkedHashSet<>();
-    private boolean closing;
-
-    public Pilotage(Quay quay, Settings settings, java.util.function.Function<Shore, HarbourNode> nodeFor, long life,
-            Tally tally) {
-        this.quay = quay;
-        this.settings = settings;
-        this.life = life;
-        this.tally = tally;
-        long remembered = settings.keyWindowMicros() + 10_000_000;
-        this.locker = new Locker(remembered, Runtime.getRuntime().maxMemory() / 4);
-        this.unrun = new UnrunClaims(remembered);
-        this.random = new Random(ThreadLocalRandom.current().nextLong());
-        this.fairways = new Fairways(quay, settings, random, this::wake);
-        this.node = nodeFor.apply(this);
-        this.stores = node.stores();
-        this.workerCalls = new WorkerCalls(quay);
-        this.intake = new Intake(quay, node, random, life, tally);
-        this.keysTrusted = settings.revokeMicros() - Math.max(REVOKE_MARGIN, settings.revokeMicros() / 20);
-    }
-
-    public HarbourNode node() {
-        return node;
-    }
-
-    public void leave() {
-        leaving = true;
-    }
-
-    @Override
-    public boolean leaving() {
-        return leaving;
-    }
-
-    public boolean ready() {
-        return configuration != null && !leaving;
-    }
-
-    /** Requests in hand. */
-    public int open() {
-        return inHand.size() + intake.open();
-    }
-
-    /** Near the end of a leaving node: what comes now could not be finished and is sent elsewhere at once. */
-    public void close() {
-        closing = true;
-    }
-
-    /** The end: whoever still waits gets an answer in place of a connection that just ends. */
-    public void endAll() {
-        closing = true;
-        List<Call> calls = new ArrayList<>(parked);
-        parked.clear();
-        calls.forEach(this::sendElsewhere);
-        intake.endAll();
-        for (Passage p : new ArrayList<>(inHand)) {
-            if (p.open.isEmpty()) {
-                refuse(p, "the node is leaving");
-            } else {
-                giveUp(p, Replies.problem(502, "the node ended before the worker answered"));
-            }
-        }
+  private static final Logger LOG = LoggerFactory.getLogger(Pilotage.class);
+
+  static final String ATTEMPT_ID = "X-Otterpond-Attempt-Id";
+  static final String TIME_LEFT = "X-Otterpond-Time-Remaining";
+  static final String KEY = "X-Otterpond-Operation-Key";
+  static final String SEAL = "X-Otterpond-Server-Seal";
+  static final String EXPECTED = "X-Otterpond-Expected-Instance";
+  static final String TENANT = "X-Otterpond-Tenant-Id";
+  static final String PARTITION_KEY = "X-Otterpond-Partition-Key";
+  static final String AUTHORIZATION = "Authorization";
+  static final String NOT_EXECUTED = "X-Otterpond-Not-Executed";
+
+  private static final Set<String> HOP =
+      Set.of(
+          "connection",
+          "keep-alive",
+          "proxy-connection",
+          "te",
+          "trailer",
+          "transfer-encoding",
+          "upgrade",
+          "content-length",
+          "expect",
+          "proxy-authenticate",
+          "proxy-authorization");
+
+  /** Headers of a request that this system speaks for, whatever the client sent. */
+  private static final Set<String> OWN =
+      Set.of(
+          TIME_LEFT.toLowerCase(Locale.ROOT),
+          EXPECTED.toLowerCase(Locale.ROOT),
+          TENANT.toLowerCase(Locale.ROOT));
+
+  /**
+   * Headers that neither side may declare to be of one connection only: whose answer it is follows
+   * from them.
+   */
+  private static final String ANSWERS_ARE_KNOWN_BY = "x-otterpond-";
+
+  private static final long DEFAULT_AIM = 400_000;
+  private static final long CONNECT = 250_000;
+  private static final long FULL_SHUN = 60_000;
+  private static final long WAIT_CHECK = 10_000;
+  private static final long CLAIM_LEAST = 50_000;
+  private static final long PARK_MOST = 600_000;
+  private static final long FETCH = 400_000;
+  private static final long LEAST_LEFT = 5_000;
+  private static final long REVOKE_MARGIN = 250_000;
+
+  /** In seconds: another node can take it at once. */
+  private static final double LEFT_RETRY = 0.01;
+
+  /** A request that may run once goes on a connection that has just been used, or on a new one. */
+  private static final long IDLE_ONCE = 150_000;
+
+  /**
+   * A request earns this much of the ratio, as it can be spent in its own window or in the next.
+   */
+  private static final double EARNED = 0.45;
+
+  private static final String BEARER = "Bearer ";
+  private static final long OWNER_AGAIN = 25_000;
+  private static final long WORK_ASKED_AGAIN = 100_000;
+  private static final long UNRUN_ASKED_AGAIN = 10_000;
+
+  private final Quay quay;
+  private final Settings settings;
+  private final HarbourNode node;
+  private final Random random;
+  private final Fairways fairways;
+  private final long life;
+  private final Tally tally;
+  private final Locker locker;
+  private final UnrunClaims unrun;
+  private final Stores stores;
+  private final Intake intake;
+  private final RangeTable ranges = new RangeTable();
+  private final KeyHeat.Meter meter = new KeyHeat.Meter();
+  private final WorkerCalls workerCalls;
+
+  /** The claims whose runs are not settled yet. */
+  private final Set<String> atWork = new HashSet<>();
+
+  private final Set<Call> parked = new LinkedHashSet<>();
+  private final long keysTrusted;
+
+  private Configuration configuration;
+  private boolean leaving;
+  private long tokenNumber;
+  private boolean waitCheckDue;
+  private final Set<Passage> inHand = new LinkedHashSet<>();
+  private boolean closing;
+
+  public Pilotage(
+      Quay quay,
+      Settings settings,
+      java.util.function.Function<Shore, HarbourNode> nodeFor,
+      long life,
+      Tally tally) {
+    this.quay = quay;
+    this.settings = settings;
+    this.life = life;
+    this.tally = tally;
+    long remembered = settings.keyWindowMicros() + 10_000_000;
+    this.locker = new Locker(remembered, Runtime.getRuntime().maxMemory() / 4);
+    this.unrun = new UnrunClaims(remembered);
+    this.random = new Random(ThreadLocalRandom.current().nextLong());
+    this.fairways = new Fairways(quay, settings, random, this::wake);
+    this.node = nodeFor.apply(this);
+    this.stores = node.stores();
+    this.workerCalls = new WorkerCalls(quay);
+    this.intake = new Intake(quay, node, random, life, tally);
+    this.keysTrusted =
+        settings.revokeMicros() - Math.max(REVOKE_MARGIN, settings.revokeMicros() / 20);
+  }
+
+  public HarbourNode node() {
+    return node;
+  }
+
+  public void leave() {
+    leaving = true;
+  }
+
+  @Override
+  public boolean leaving() {
+    return leaving;
+  }
+
+  public boolean ready() {
+    return configuration != null && !leaving;
+  }
+
+  /** Requests in hand. */
+  public int open() {
+    return inHand.size() + intake.open();
+  }
+
+  /**
+   * Near the end of a leaving node: what comes now could not be finished and is sent elsewhere at
+   * once.
+   */
+  public void close() {
+    closing = true;
+  }
+
+  /** The end: whoever still waits gets an answer in place of a connection that just ends. */
+  public void endAll() {
+    closing = true;
+    List<Call> calls = new ArrayList<>(parked);
+    parked.clear();
+    calls.forEach(this::sendElsewhere);
+    intake.endAll();
+    for (Passage p : new ArrayList<>(inHand)) {
+      if (p.open.isEmpty()) {
+        refuse(p, "the node is leaving");
+      } else {
+        giveUp(p, Replies.problem(502, "the node ended before the worker answered"));
+      }
     }
-
-    private void sendElsewhere(Call call) {
-        tally.refused.increment();
-        call.answer(Replies.unavailable("the node is leaving", LEFT_RETRY));
+  }
+
+  private void sendElsewhere(Call call) {
+    tally.refused.increment();
+    call.answer(Replies.unavailable("the node is leaving", LEFT_RETRY));
+  }
+
+  @Override
+  public Limits limits() {
+    return configuration == null ? Limits.standard() : configuration.limits();
+  }
+
+  // ------------------------------------------------------------------ news
+
+  @Override
+  public void configured(Configuration c) {
+    configuration = c;
+    c.services()
+        .values()
+        .forEach(s -> fairways.of(s.name()).divided(s.partitioned() ? ranges : null));
+    List<Call> calls = new ArrayList<>(parked);
+    parked.clear();
+    // After the workers that came in the same news.
+    quay.after(0, () -> calls.forEach(this::handle));
+  }
+
+  @Override
+  public void fleet(Map<String, Integer> nodesInZone, int rank) {
+    fairways.fleet(nodesInZone, rank);
+  }
+
+  @Override
+  public void assigned(Flag entry) {
+    intake.assigned(entry);
+    String service = ranges.take(entry);
+    if (service != null) {
+      wake(fairways.of(service));
     }
-
-    @Override
-    public Limits limits() {
-        return configuration == null ? Limits.standard() : configuration.limits();
+  }
+
+  @Override
+  public List<Flag> heat() {
+    List<Flag> out = new ArrayList<>();
+    meter
+        .take()
+        .forEach(
+            (service, counts) -> {
+              List<Object> keys = new ArrayList<>();
+              counts.forEach(
+                  (k, n) -> {
+                    keys.add((long) k);
+                    keys.add((long) n);
+                  });
+              out.add(
+                  new Flag("heat")
+                      .with("service", service)
+                      .with("work", fairways.of(service).pace.usual())
+                      .with("keys", keys));
+            });
+    return out;
+  }
+
+  @Override
+  public void callWorker(
+      String address,
+      String instance,
+      String path,
+      String body,
+      long timeout,
+      java.util.function.Consumer<KeeperHost.Answer> answer) {
+    workerCalls.call(address, instance, path, body, timeout, answer);
+  }
+
+  @Override
+  public Flag outcome(String key, String token) {
+    Flag kept = locker.get(key, token);
+    return kept != null
+        ? kept
+        : atWork.contains(token)
+            ? new Flag("working")
+            : unrun.holds(token) ? new Flag("unrun") : null;
+  }
+
+  @Override
+  public void worker(Vessel v) {
+    fairways.worker(v);
+  }
+
+  // ----------------------------------------------------------------- calls
+
+  @Override
+  public void handle(Call call) {
+    Missive r = call.request();
+    long now = Quay.now();
+    if (closing) {
+      sendElsewhere(call);
+      return;
     }
-
-    // ------------------------------------------------------------------ news
-
-    @Override
-    public void configured(Configuration c) {
-        configuration = c;
-        c.services().values().forEach(s -> fairways.of(s.name()).divided(s.partitioned() ? ranges : null));
-        List<Call> calls = new ArrayList<>(parked);
-        parked.clear();
-        // After the workers that came in the same news.
-        quay.after(0, () -> calls.forEach(this::handle));
+    if (configuration == null) {
+      park(call);
+      return;
     }
-
-    @Override
-    public void fleet(Map<String, Integer> nodesInZone, int rank) {
-        fairways.fleet(nodesInZone, rank);
+    tally.requests.increment();
+    if (Intake.asks(r.path())) {
+      question(call);
+      return;
     }
-
-    @Override
-    public void assigned(Flag entry) {
-        intake.assigned(entry);
-        String service = ranges.take(entry);
-        if (service != null) {
-            wake(fairways.of(service));
-        }
+    String host = r.first("Host");
+    Route route = host == null ? null : configuration.route(host, r.path());
+    if (route == null) {
+      tally.unrouted.increment();
+      call.answer(Replies.problem(404, "no route"));
+      return;
     }
-
-    @Override
-    public List<Flag> heat() {
-        List<Flag> out = new ArrayList<>();
-        meter.take().forEach((service, counts) -> {
-            List<Object> keys = new ArrayList<>();
-            counts.forEach((k, n) -> {
-                keys.add((long) k);
-                keys.add((long) n);
-            });
-            out.add(new Flag("heat").with("service", service).with("work", fairways.of(service).pace.usual())
-                    .with("keys", keys));
-        });
-        return out;
+    Shipper shipper = null;
+    if (configuration.closed() && !route.open()) {
+      if (!keysFresh()) {
+        stale(call);
+        return;
+      }
+      shipper = shipperOf(r);
+      if (shipper == null) {
+        if (node.outOfTouch()) {
+          // The key may have come with a version that has not reached this node.
+          stale(call);
+          return;
+        }
+        tally.unauthorised.increment();
+        call.answer(
+            Replies.problem(401, AUTHORIZATION + ": no tenant holds such a key")
+                .header("WWW-Authenticate", "Bearer"));
+        return;
+      }
     }
-
-    @Override
-    public void callWorker(String address, String instance, String path, String body, long timeout,
-            java.util.function.Consumer<KeeperHost.Answer> answer) {
-        workerCalls.call(address, instance, path, body, timeout, answer);
+    if (r.first(ATTEMPT_ID) == null) {
+      call.answer(Replies.problem(400, ATTEMPT_ID + ": missing"));
+      return;
     }
-
-    @Override
-    public Flag outcome(String key, String token) {
-        Flag kept = locker.get(key, token);
-        return kept != null ? kept : atWork.contains(token) ? new Flag("working")
-                : unrun.holds(token) ? new Flag("unrun") : null;
+    if (route.type() == RouteType.ASYNCHRONOUS) {
+      intake.take(call, route, shipper, configuration);
+      return;
     }
-
-    @Override
-    public void worker(Vessel v) {
-        fairways.worker(v);
+    long left;
+    try {
+      left = Math.min(route.guardMicros(), timeLeft(r, route.guardMicros()));
+    } catch (NumberFormatException e) {
+      call.answer(Replies.problem(400, TIME_LEFT + ": a number of milliseconds is wanted"));
+      return;
     }
-
-    // ----------------------------------------------------------------- calls
-
-    @Override
-    public void handle(Call call) {
-        Missive r = call.request();
-        long now = Quay.now();
-        if (closing) {
-            sendElsewhere(call);
-            return;
-        }
-        if (configuration == null) {
-            park(call);
-            return;
-        }
-        tally.requests.increment();
-        if (Intake.asks(r.path())) {
-            question(call);
-            return;
-        }
-        String host = r.first("Host");
-        Route route = host == null ? null : configuration.route(host, r.path());
-        if (route == null) {
-            tally.unrouted.increment();
-            call.answer(Replies.problem(404, "no route"));
-            return;
-        }
-        Shipper shipper = null;
-        if (configuration.closed() && !route.open()) {
-            if (!keysFresh()) {
-                stale(call);
-                return;
-            }
-            shipper = shipperOf(r);
-            if (shipper == null) {
-                if (node.outOfTouch()) {
-                    // The key may have come with a version that has not reached this node.
-                    stale(call);
-                    return;
-                }
-                tally.unauthorised.increment();
-                call.answer(Replies.problem(401, AUTHORIZATION + ": no tenant holds such a key")
-                        .header("WWW-Authenticate", "Bearer"));
-                return;
-            }
-        }
-        if (r.first(ATTEMPT_ID) == null) {
-            call.answer(Replies.problem(400, ATTEMPT_ID + ": missing"));
-            return;
-        }
-        if (route.type() == RouteType.ASYNCHRONOUS) {
-            intake.take(call, route, shipper, configuration);
-            return;
-        }
-        long left;
-        try {
-            left = Math.min(route.guardMicros(), timeLeft(r, route.guardMicros()));
-        } catch (NumberFormatException e) {
-            call.answer(Replies.problem(400, TIME_LEFT + ": a number of milliseconds is wanted"));
-            return;
-        }
-        long aim = route.aimMicros() > 0 ? route.aimMicros() : DEFAULT_AIM;
-        long refuse = Math.min(aim / 4 - 10_000, left / 2);
-        Fairway f = fairways.of(route.serviceFor((long) (random.nextDouble() * route.totalWeight())));
-        int partition = -1;
-        if (f.divided()) {
-            partition = partitionKey(r);
-            if (partition < 0) {
-                call.answer(Replies.problem(400, PARTITION_KEY + ": a whole number from 0 to 65535 is wanted"));
-                return;
-            }
-            meter.asked(f.name, partition);
-            KeyRange range = f.range(partition);
-            if (range != null && range.state() != RangeState.EXPIRING) {
-                // What moves has arrived in a moment: it is waited for within the aim.
-                refuse = Math.min(aim * 6 / 10, left / 2);
-            }
-        }
-        Passage p = new Passage(call, route, shipper, f, call.receivedAt() + left,
-                call.receivedAt() + Math.max(20_000, refuse));
-        p.partitionKey = partition;
-        p.tenanted = configuration.closed();
-        if (p.keyed()) {
-            p.key = r.first(KEY);
-            if (p.key == null || p.key.isEmpty()) {
-                call.answer(Replies.problem(400, KEY + ": missing"));
-                return;
-            }
-            p.key = (shipper == null ? "host " + route.host() : "tenant " + shipper.name()) + "\n" + p.key;
-            p.token = Long.toHexString(life) + "-" + Long.toHexString(++tokenNumber);
-        }
-        f.purse.earn(settings.retryRatio() * EARNED, now);
-        inHand.add(p);
-        p.timer = quay.after(p.deadline() - now, () -> deadline(p));
-        if (p.keyed()) {
-            claim(p);
-        } else if (p.counted()) {
-            pay(p, () -> dispatch(p), over -> overQuota(p, over));
-        } else {
-            dispatch(p);
-        }
+    long aim = route.aimMicros() > 0 ? route.aimMicros() : DEFAULT_AIM;
+    long refuse = Math.min(aim / 4 - 10_000, left / 2);
+    Fairway f = fairways.of(route.serviceFor((long) (random.nextDouble() * route.totalWeight())));
+    int partition = -1;
+    if (f.divided()) {
+      partition = partitionKey(r);
+      if (partition < 0) {
+        call.answer(
+            Replies.problem(400, PARTITION_KEY + ": a whole number from 0 to 65535 is wanted"));
+        return;
+      }
+      meter.asked(f.name, partition);
+      KeyRange range = f.range(partition);
+      if (range != null && range.state() != RangeState.EXPIRING) {
+        // What moves has arrived in a moment: it is waited for within the aim.
+        refuse = Math.min(aim * 6 / 10, left / 2);
+      }
     }
-
-    /** The state or the bytes of a message are asked for, by its own tenant. */
-    private void question(Call call) {
-        Shipper shipper = null;
-        if (configuration.closed()) {
-            if (!keysFresh()) {
-                stale(call);
-                return;
-            }
-            shipper = shipperOf(call.request());
-            if (shipper == null) {
-                tally.unauthorised.increment();
-                call.answer(Replies.problem(401, AUTHORIZATION + ": no tenant holds such a key")
-                        .header("WWW-Authenticate", "Bearer"));
-                return;
-            }
-        }
-        intake.question(call, shipper);
+    Passage p =
+        new Passage(
+            call,
+            route,
+            shipper,
+            f,
+            call.receivedAt() + left,
+            call.receivedAt() + Math.max(20_000, refuse));
+    p.partitionKey = partition;
+    p.tenanted = configuration.closed();
+    if (p.keyed()) {
+      p.key = r.first(KEY);
+      if (p.key == null || p.key.isEmpty()) {
+        call.answer(Replies.problem(400, KEY + ": missing"));
+        return;
+      }
+      p.key =
+          (shipper == null ? "host " + route.host() : "tenant " + shipper.name()) + "\n" + p.key;
+      p.token = Long.toHexString(life) + "-" + Long.toHexString(++tokenNumber);
     }
-
-    /** The key by which a divided service is split, or -1 if there is none that is good. */
-    private static int partitionKey(Missive r) {
-        Header[] given = r.headers().getHeaders(PARTITION_KEY);
-        if (given.length != 1 || given[0].getValue() == null) {
-            return -1;
-        }
-        try {
-            int key = Integer.parseInt(given[0].getValue().trim());
-            return key > KeyRange.LAST_KEY ? -1 : key;
-        } catch (NumberFormatException e) {
-            return -1;
-        }
+    f.purse.earn(settings.retryRatio() * EARNED, now);
+    inHand.add(p);
+    p.timer = quay.after(p.deadline() - now, () -> deadline(p));
+    if (p.keyed()) {
+      claim(p);
+    } else if (p.counted()) {
+      pay(p, () -> dispatch(p), over -> overQuota(p, over));
+    } else {
+      dispatch(p);
     }
-
-    /** The tenant that holds the one well-formed key of the request, or null. */
-    private Shipper shipperOf(Missive r) {
-        Header[] given = r.headers().getHeaders(AUTHORIZATION);
-        if (given.length != 1 || given[0].getValue() == null) {
-            return null;
-        }
-        String v = given[0].getValue().trim();
-        return v.regionMatches(true, 0, BEARER, 0, BEARER.length())
-                ? configuration.shipperOf(v.substring(BEARER.length()).trim()) : null;
+  }
+
+  /** The state or the bytes of a message are asked for, by its own tenant. */
+  private void question(Call call) {
+    Shipper shipper = null;
+    if (configuration.closed()) {
+      if (!keysFresh()) {
+        stale(call);
+        return;
+      }
+      shipper = shipperOf(call.request());
+      if (shipper == null) {
+        tally.unauthorised.increment();
+        call.answer(
+            Replies.problem(401, AUTHORIZATION + ": no tenant holds such a key")
+                .header("WWW-Authenticate", "Bearer"));
+        return;
+      }
     }
-
-    /**
-     * Whether no withdrawal of a key can have been acknowledged so long ago that it must hold here unheard. A request
-     * admitted now was sent before now, so this look is the one that counts; time spent frozen makes it older.
-     */
-    private boolean keysFresh() {
-        return !settings.revocationGlobal() || Quay.now() - node.freshAt() < keysTrusted;
+    intake.question(call, shipper);
+  }
+
+  /** The key by which a divided service is split, or -1 if there is none that is good. */
+  private static int partitionKey(Missive r) {
+    Header[] given = r.headers().getHeaders(PARTITION_KEY);
+    if (given.length != 1 || given[0].getValue() == null) {
+      return -1;
     }
-
-    private void stale(Call call) {
-        tally.stale.increment();
-        call.answer(Replies.unavailable("not sure of the keys in force", 0.2 + 0.2 * random.nextDouble()));
+    try {
+      int key = Integer.parseInt(given[0].getValue().trim());
+      return key > KeyRange.LAST_KEY ? -1 : key;
+    } catch (NumberFormatException e) {
+      return -1;
     }
+  }
 
-    // ---------------------------------------------------------------- quotas
-
-    /** Takes a token of the tenant's quota, here or from the owner, then goes on; or does the other thing. */
-    private void pay(Passage p, Runnable paid, java.util.function.Consumer<Double> over) {
-        long until = Quay.now() + patience(p);
-        Stores.Taker taker = new Stores.Taker() {
-            private boolean done;
-
-            @Override
-            public boolean waits() {
-                return !done && !p.finished;
+  /** The tenant that holds the one well-formed key of the request, or null. */
+  private Shipper shipperOf(Missive r) {
+    Header[] given = r.headers().getHeaders(AUTHORIZATION);
+    if (given.length != 1 || given[0].getValue() == null) {
+      return null;
+    }
+    String v = given[0].getValue().trim();
+    return v.regionMatches(true, 0, BEARER, 0, BEARER.length())
+        ? configuration.shipperOf(v.substring(BEARER.length()).trim())
+        : null;
+  }
+
+  /**
+   * Whether no withdrawal of a key can have been acknowledged so long ago that it must hold here
+   * unheard. A request admitted now was sent before now, so this look is the one that counts; time
+   * spent frozen makes it older.
+   */
+  private boolean keysFresh() {
+    return !settings.revocationGlobal() || Quay.now() - node.freshAt() < keysTrusted;
+  }
+
+  private void stale(Call call) {
+    tally.stale.increment();
+    call.answer(
+        Replies.unavailable("not sure of the keys in force", 0.2 + 0.2 * random.nextDouble()));
+  }
+
+  // ---------------------------------------------------------------- quotas
+
+  /**
+   * Takes a token of the tenant's quota, here or from the owner, then goes on; or does the other
+   * thing.
+   */
+  private void pay(Passage p, Runnable paid, java.util.function.Consumer<Double> over) {
+    long until = Quay.now() + patience(p);
+    Stores.Taker taker =
+        new Stores.Taker() {
+          private boolean done;
+
+          @Override
+          public boolean waits() {
+            return !done && !p.finished;
+          }
+
+          @Override
+          public void taken() {
+            done = true;
+            p.paid = true;
+            paid.run();
+          }
+
+          @Override
+          public void over(double retryAfter) {
+            done = true;
+            over.accept(retryAfter);
+          }
+        };
+    stores.want(p.shipper.name(), taker);
+    if (taker.waits()) {
+      quay.after(
+          until - Quay.now(),
+          () -> {
+            if (taker.waits()) {
+              taker.over(-1);
             }
+          });
+    }
+  }
+
+  /** How long the core is waited for: it changes hands within about a second. */
+  private long patience(Passage p) {
+    return node.outOfTouch()
+        ? CLAIM_LEAST
+        : Math.max(LEAST_LEFT, (p.deadline() - Quay.now()) * 2 / 5);
+  }
+
+  /** Below 0: nobody could say in time whether the tenant has tokens left. */
+  private void overQuota(Passage p, double retryAfter) {
+    if (retryAfter < 0) {
+      refuse(p, "the quota's owner did not answer in time");
+      return;
+    }
+    tally.overQuota.increment();
+    finishNotRun(p, Replies.overQuota("the tenant's quota is used up", retryAfter));
+  }
+
+  /**
+   * A node that has just started has its configuration in a moment; what comes before waits a part
+   * of its time.
+   */
+  private void park(Call call) {
+    parked.add(call);
+    long left = 0;
+    try {
+      left = timeLeft(call.request(), DEFAULT_AIM);
+    } catch (NumberFormatException e) {
+      // Refused at once: nothing says how long it may be kept.
+    }
+    quay.after(
+        Math.min(PARK_MOST, left * 3 / 10),
+        () -> {
+          if (parked.remove(call)) {
+            call.answer(Replies.unavailable("no configuration yet", 0.3));
+          }
+        });
+  }
 
-            @Override
-            public void taken() {
-                done = true;
-                p.paid = true;
-                paid.run();
-            }
+  /** How long the client says that it will wait, in microseconds. */
+  static long timeLeft(Missive r, long otherwise) {
+    String told = r.first(TIME_LEFT);
+    return told == null ? otherwise : (long) (1000 * Double.parseDouble(told.trim()));
+  }
 
-            @Override
-            public void over(double retryAfter) {
-                done = true;
-                over.accept(retryAfter);
-            }
-        };
-        stores.want(p.shipper.name(), taker);
-        if (taker.waits()) {
-            quay.after(until - Quay.now(), () -> {
-                if (taker.waits()) {
-                    taker.over(-1);
-                }
-            });
-        }
+  private void finish(Passage p, Missive answer) {
+    if (p.finished) {
+      return;
     }
-
-    /** How long the core is waited for: it changes hands within about a second. */
-    private long patience(Passage p) {
-        return node.outOfTouch() ? CLAIM_LEAST : Math.max(LEAST_LEFT, (p.deadline() - Quay.now()) * 2 / 5);
+    p.finished = true;
+    inHand.remove(p);
+    if (p.open.isEmpty()) {
+      p.timer.cancel();
     }
-
-    /** Below 0: nobody could say in time whether the tenant has tokens left. */
-    private void overQuota(Passage p, double retryAfter) {
-        if (retryAfter < 0) {
-            refuse(p, "the quota's owner did not answer in time");
-            return;
-        }
-        tally.overQuota.increment();
-        finishNotRun(p, Replies.overQuota("the tenant's quota is used up", retryAfter));
-    }
-
-    /** A node that has just started has its configuration in a moment; what comes before waits a part of its time. */
-    private void park(Call call) {
-        parked.add(call);
-        long left = 0;
-        try {
-            left = timeLeft(call.request(), DEFAULT_AIM);
-        } catch (NumberFormatException e) {
-            // Refused at once: nothing says how long it may be kept.
-        }
-        quay.after(Math.min(PARK_MOST, left * 3 / 10), () -> {
-            if (parked.remove(call)) {
-                call.answer(Replies.unavailable("no configuration yet", 0.3));
-            }
-        });
+    if (p.keyed() && !p.settled) {
+      unrun.add(p.token, Quay.now());
     }
-
-    /** How long the client says that it will wait, in microseconds. */
-    static long timeLeft(Missive r, long otherwise) {
-        String told = r.first(TIME_LEFT);
-        return told == null ? otherwise : (long) (1000 * Double.parseDouble(told.trim()));
+    if (p.hedge != null) {
+      p.hedge.cancel();
     }
-
-    private void finish(Passage p, Missive answer) {
-        if (p.finished) {
-            return;
-        }
-        p.finished = true;
-        inHand.remove(p);
-        if (p.open.isEmpty()) {
-            p.timer.cancel();
-        }
-        if (p.keyed() && !p.settled) {
-            unrun.add(p.token, Quay.now());
-        }
-        if (p.hedge != null) {
-            p.hedge.cancel();
-        }
-        p.fairway.waiting.remove(p);
-        if (p.paid) {
-            // Never used: what was taken for a run is given back where none was begun.
-            stores.giveBack(p.shipper.name());
-        }
-        p.call.answer(answer);
+    p.fairway.waiting.remove(p);
+    if (p.paid) {
+      // Never used: what was taken for a run is given back where none was begun.
+      stores.giveBack(p.shipper.name());
     }
-
-    private void deadline(Passage p) {
-        if (p.finished) {
-            // Another attempt was answered; this one's worker has had its time.
-            abandonOpen(p);
-            return;
-        }
-        tally.timeouts.increment();
-        giveUp(p, Replies.problem(504, "no answer in time"));
+    p.call.answer(answer);
+  }
+
+  private void deadline(Passage p) {
+    if (p.finished) {
+      // Another attempt was answered; this one's worker has had its time.
+      abandonOpen(p);
+      return;
     }
-
-    private void abandonOpen(Passage p) {
-        for (Attempt a : List.copyOf(p.open)) {
-            release(p, a);
-            p.mayHaveRun |= a.abandon();
-        }
+    tally.timeouts.increment();
+    giveUp(p, Replies.problem(504, "no answer in time"));
+  }
+
+  private void abandonOpen(Passage p) {
+    for (Attempt a : List.copyOf(p.open)) {
+      release(p, a);
+      p.mayHaveRun |= a.abandon();
     }
+  }
 
-    /** Ends it with attempts open, if any: they may run or have run, and that is never known. */
-    private void giveUp(Passage p, Missive answer) {
-        abandonOpen(p);
-        if (p.keyed()) {
-            settleUnknown(p);
-        }
-        finish(p, answer);
+  /** Ends it with attempts open, if any: they may run or have run, and that is never known. */
+  private void giveUp(Passage p, Missive answer) {
+    abandonOpen(p);
+    if (p.keyed()) {
+      settleUnknown(p);
     }
-
-    // ------------------------------------------------------------------ keys
-
-    private void claim(Passage p) {
-        Flag ask = new Flag("ask").with("op", "claim").with("key", p.key).with("token", p.token)
-                .with("holder", settings.internalAddress());
-        if (p.counted() && !p.paid) {
-            if (stores.take(p.shipper.name())) {
-                p.paid = true;
-            } else {
-                stores.sign(ask).with("tenant", stores.part(p.shipper.name(), 1));
-            }
-        }
-        long asked = Quay.now();
-        atWork.add(p.token);
-        node.ask(ask, patience(p), 200_000, r -> claimed(p, r, asked));
+    finish(p, answer);
+  }
+
+  // ------------------------------------------------------------------ keys
+
+  private void claim(Passage p) {
+    Flag ask =
+        new Flag("ask")
+            .with("op", "claim")
+            .with("key", p.key)
+            .with("token", p.token)
+            .with("holder", settings.internalAddress());
+    if (p.counted() && !p.paid) {
+      if (stores.take(p.shipper.name())) {
+        p.paid = true;
+      } else {
+        stores.sign(ask).with("tenant", stores.part(p.shipper.name(), 1));
+      }
     }
-
-    private void claimed(Passage p, Flag r, long asked) {
-        boolean granted = r != null && r.truth("granted");
-        Flag lent = r == null ? null : r.flag("lent");
-        if (lent != null) {
-            stores.lent(r.number("term"), lent, asked, false);
-        }
-        if (p.finished || r == null) {
-            if (granted || r == null) {
-                free(p);
-            } else {
-                atWork.remove(p.token);
-            }
-            if (!p.finished) {
-                tally.refused.increment();
-                // A node that is cut off sends the client to another at once; else the core is about to be back.
-                double later = node.outOfTouch() ? CLAIM_LEAST / 1e6
-                        : Math.max(0.05, (p.deadline() - Quay.now()) / 3.5e6);
-                finishNotRun(p, Replies.unavailable("the key could not be claimed in time", later));
-            }
-            return;
-        }
-        if (granted) {
-            p.claimed = true;
-            if (!p.counted() || p.paid || stores.take(p.shipper.name())) {
-                p.paid = p.counted();
-                dispatch(p);
-            } else {
-                pay(p, () -> dispatch(p), over -> overQuota(p, over));
-            }
-            return;
-        }
+    long asked = Quay.now();
+    atWork.add(p.token);
+    node.ask(ask, patience(p), 200_000, r -> claimed(p, r, asked));
+  }
+
+  private void claimed(Passage p, Flag r, long asked) {
+    boolean granted = r != null && r.truth("granted");
+    Flag lent = r == null ? null : r.flag("lent");
+    if (lent != null) {
+      stores.lent(r.number("term"), lent, asked, false);
+    }
+    if (p.finished || r == null) {
+      if (granted || r == null) {
+        free(p);
+      } else {
         atWork.remove(p.token);
-        if (lent != null) {
-            unlent(p, lent);
-        } else {
-            replayFrom(p, r.text("holder"), r.text("run"));
-        }
+      }
+      if (!p.finished) {
+        tally.refused.increment();
+        // A node that is cut off sends the client to another at once; else the core is about to be
+        // back.
+        double later =
+            node.outOfTouch()
+                ? CLAIM_LEAST / 1e6
+                : Math.max(0.05, (p.deadline() - Quay.now()) / 3.5e6);
+        finishNotRun(p, Replies.unavailable("the key could not be claimed in time", later));
+      }
+      return;
     }
-
-    /** The key is free, but the owner lent no token for its run. */
-    private void unlent(Passage p, Flag lent) {
-        long half = (p.deadline() - p.call.receivedAt()) / 2;
-        if (lent.truth("over")) {
-            overQuota(p, Stores.retryAfter(lent));
-        } else if (p.deadline() - Quay.now() > half) {
-            quay.after(Stores.pause(lent), () -> again(p));
-        } else {
-            overQuota(p, -1);
-        }
+    if (granted) {
+      p.claimed = true;
+      if (!p.counted() || p.paid || stores.take(p.shipper.name())) {
+        p.paid = p.counted();
+        dispatch(p);
+      } else {
+        pay(p, () -> dispatch(p), over -> overQuota(p, over));
+      }
+      return;
     }
-
-    private void again(Passage p) {
-        if (!p.finished) {
-            claim(p);
-        }
+    atWork.remove(p.token);
+    if (lent != null) {
+      unlent(p, lent);
+    } else {
+      replayFrom(p, r.text("holder"), r.text("run"));
     }
-
-    /** Another try of the operation claimed the key: the node that did so knows how it went. */
-    private void replayFrom(Passage p, String holder, String run) {
-        if (holder == null || holder.isEmpty() || holder.equals(settings.internalAddress())) {
-            replayed(p, run, outcome(p.key, run));
-            return;
-        }
-        node.fetch(holder, p.key, run, Math.min(FETCH, Math.max(LEAST_LEFT, p.deadline() - Quay.now() - LEAST_LEFT)),
-                a -> replayed(p, run, a));
+  }
+
+  /** The key is free, but the owner lent no token for its run. */
+  private void unlent(Passage p, Flag lent) {
+    long half = (p.deadline() - p.call.receivedAt()) / 2;
+    if (lent.truth("over")) {
+      overQuota(p, Stores.retryAfter(lent));
+    } else if (p.deadline() - Quay.now() > half) {
+      quay.after(Stores.pause(lent), () -> again(p));
+    } else {
+      overQuota(p, -1);
     }
+  }
 
-    private void replayed(Passage p, String run, Flag a) {
-        if (p.finished) {
-            return;
-        }
-        if (a != null && a.kind().equals("unrun")) {
-            // The ledger holds a claim that its own node has given up. Freed first, on the connection that claims go on.
-            free(p.key, run, r -> { });
-            quay.after(UNRUN_ASKED_AGAIN, () -> again(p));
-        } else if (a == null || a.kind().equals("unknown")) {
-            finish(p, Replies.problem(502, "an earlier try of this operation has no known outcome"));
-        } else if (a.kind().equals("answer")) {
-            tally.replays.increment();
-            finish(p, replay(a, p));
-        } else if (p.deadline() - Quay.now() > (p.deadline() - p.call.receivedAt()) / 2) {
-            // Claimed again, for the run may turn out not to have been one.
-            quay.after(WORK_ASKED_AGAIN, () -> again(p));
-        } else {
-            finish(p, Replies.problem(409, "the operation is in work").header("Retry-After", "0.1"));
-        }
+  private void again(Passage p) {
+    if (!p.finished) {
+      claim(p);
     }
+  }
 
-    private void free(Passage p) {
-        p.freed = true;
-        free(p.key, p.token, r -> atWork.remove(p.token));
+  /** Another try of the operation claimed the key: the node that did so knows how it went. */
+  private void replayFrom(Passage p, String holder, String run) {
+    if (holder == null || holder.isEmpty() || holder.equals(settings.internalAddress())) {
+      replayed(p, run, outcome(p.key, run));
+      return;
     }
-
-    /** Takes a claim out of the ledger that nothing ran under; a claim of another token stays. */
-    private void free(String key, String token, java.util.function.Consumer<Flag> told) {
-        node.ask(new Flag("ask").with("op", "free").with("key", key).with("token", token), 3_000_000, 400_000, told);
+    node.fetch(
+        holder,
+        p.key,
+        run,
+        Math.min(FETCH, Math.max(LEAST_LEFT, p.deadline() - Quay.now() - LEAST_LEFT)),
+        a -> replayed(p, run, a));
+  }
+
+  private void replayed(Passage p, String run, Flag a) {
+    if (p.finished) {
+      return;
     }
-
-    private void settleUnknown(Passage p) {
-        if (p.mayHaveRun) {
-            settle(p, new Flag("unknown"));
-        } else {
-            free(p);
-        }
+    if (a != null && a.kind().equals("unrun")) {
+      // The ledger holds a claim that its own node has given up. Freed first, on the connection
+      // that claims go on.
+      free(p.key, run, r -> {});
+      quay.after(UNRUN_ASKED_AGAIN, () -> again(p));
+    } else if (a == null || a.kind().equals("unknown")) {
+      finish(p, Replies.problem(502, "an earlier try of this operation has no known outcome"));
+    } else if (a.kind().equals("answer")) {
+      tally.replays.increment();
+      finish(p, replay(a, p));
+    } else if (p.deadline() - Quay.now() > (p.deadline() - p.call.receivedAt()) / 2) {
+      // Claimed again, for the run may turn out not to have been one.
+      quay.after(WORK_ASKED_AGAIN, () -> again(p));
+    } else {
+      finish(p, Replies.problem(409, "the operation is in work").header("Retry-After", "0.1"));
     }
-
-    private void settleDone(Passage p, Missive m) {
-        settle(p, new Flag("answer").with("status", m.status()).with("body", m.body())
-                .with("seal", m.first(SEAL)).with("type", m.first("Content-Type")));
+  }
+
+  private void free(Passage p) {
+    p.freed = true;
+    free(p.key, p.token, r -> atWork.remove(p.token));
+  }
+
+  /** Takes a claim out of the ledger that nothing ran under; a claim of another token stays. */
+  private void free(String key, String token, java.util.function.Consumer<Flag> told) {
+    node.ask(
+        new Flag("ask").with("op", "free").with("key", key).with("token", token),
+        3_000_000,
+        400_000,
+        told);
+  }
+
+  private void settleUnknown(Passage p) {
+    if (p.mayHaveRun) {
+      settle(p, new Flag("unknown"));
+    } else {
+      free(p);
     }
-
-    /** Keeps the outcome for repeats: the ledger names this node as the one that knows it. */
-    private void settle(Passage p, Flag outcome) {
-        p.settled = true;
-        locker.put(p.key, p.token, outcome, Quay.now());
-        atWork.remove(p.token);
+  }
+
+  private void settleDone(Passage p, Missive m) {
+    settle(
+        p,
+        new Flag("answer")
+            .with("status", m.status())
+            .with("body", m.body())
+            .with("seal", m.first(SEAL))
+            .with("type", m.first("Content-Type")));
+  }
+
+  /** Keeps the outcome for repeats: the ledger names this node as the one that knows it. */
+  private void settle(Passage p, Flag outcome) {
+    p.settled = true;
+    locker.put(p.key, p.token, outcome, Quay.now());
+    atWork.remove(p.token);
+  }
+
+  private static Missive replay(Flag a, Passage p) {
+    return Missive.response((int) a.number("status"))
+        .header(ATTEMPT_ID, p.call.request().first(ATTEMPT_ID))
+        .header(SEAL, a.text("seal"))
+        .header("Content-Type", a.text("type"))
+        .body(a.bytes("body"));
+  }
+
+  // --------------------------------------------------------------- forward
+
+  private void dispatch(Passage p) {
+    long now = Quay.now();
+    if (p.finished) {
+      return;
     }
-
-    private static Missive replay(Flag a, Passage p) {
-        return Missive.response((int) a.number("status")).header(ATTEMPT_ID, p.call.request().first(ATTEMPT_ID))
-                .header(SEAL, a.text("seal")).header("Content-Type", a.text("type")).body(a.bytes("body"));
+    if (p.shipper != null && !keysFresh()) {
+      tally.stale.increment();
+      refuse(p, "not sure of the keys in force");
+      return;
     }
-
-    // --------------------------------------------------------------- forward
-
-    private void dispatch(Passage p) {
-        long now = Quay.now();
-        if (p.finished) {
-            return;
-        }
-        if (p.shipper != null && !keysFresh()) {
-            tally.stale.increment();
-            refuse(p, "not sure of the keys in force");
-            return;
-        }
-        Hull h = p.fairway.pick(now, p.tried, p.partitionKey);
-        if (h == null) {
-            if (p.attempts > 0 || now >= p.refuseAt()) {
-                refuse(p, "no worker can take the request");
-                return;
-            }
-            p.fairway.waiting.add(p);
-            checkWaiting();
-            return;
-        }
-        long left = p.deadline() - now;
-        if (left < LEAST_LEFT) {
-            refuse(p, "no time left");
-            return;
-        }
-        p.attempts++;
-        p.paid = false;
-        p.tried.add(h.id());
-        Attempt attempt = new Attempt(h, now);
-        p.open.add(attempt);
-        h.took(now);
-        tally.forwarded.increment();
-        attempt.tender = h.pool.send(toWorker(p, h, left), Math.min(CONNECT, left),
-                p.repeatable() ? Long.MAX_VALUE : IDLE_ONCE, new Reception() {
-            @Override
-            public void answered(Missive response) {
+    Hull h = p.fairway.pick(now, p.tried, p.partitionKey);
+    if (h == null) {
+      if (p.attempts > 0 || now >= p.refuseAt()) {
+        refuse(p, "no worker can take the request");
+        return;
+      }
+      p.fairway.waiting.add(p);
+      checkWaiting();
+      return;
+    }
+    long left = p.deadline() - now;
+    if (left < LEAST_LEFT) {
+      refuse(p, "no time left");
+      return;
+    }
+    p.attempts++;
+    p.paid = false;
+    p.tried.add(h.id());
+    Attempt attempt = new Attempt(h, now);
+    p.open.add(attempt);
+    h.took(now);
+    tally.forwarded.increment();
+    attempt.tender =
+        h.pool.send(
+            toWorker(p, h, left),
+            Math.min(CONNECT, left),
+            p.repeatable() ? Long.MAX_VALUE : IDLE_ONCE,
+            new Reception() {
+              @Override
+              public void answered(Missive response) {
                 if (release(p, attempt) && !p.finished) {
-                    onAnswer(p, attempt, response);
+                  onAnswer(p, attempt, response);
                 }
-            }
+              }
 
-            @Override
-            public void failed(boolean written, String why) {
+              @Override
+              public void failed(boolean written, String why) {
                 if (release(p, attempt) && !p.finished) {
-                    onFailure(p, h, written, why);
+                  onFailure(p, h, written, why);
                 }
-            }
-        });
-        if (p.repeatable() && p.partitionKey < 0 && p.attempts < p.route.maxAttempts()) {
-            p.hedge = quay.after(hedgeAfter(p.route), () -> hedge(p));
-        }
+              }
+            });
+    if (p.repeatable() && p.partitionKey < 0 && p.attempts < p.route.maxAttempts()) {
+      p.hedge = quay.after(hedgeAfter(p.route), () -> hedge(p));
     }
-
-    private static long hedgeAfter(Route r) {
-        return (r.aimMicros() > 0 ? r.aimMicros() : DEFAULT_AIM) * 9 / 10;
+  }
+
+  private static long hedgeAfter(Route r) {
+    return (r.aimMicros() > 0 ? r.aimMicros() : DEFAULT_AIM) * 9 / 10;
+  }
+
+  /**
+   * A repeatable request that has waited for most of its aim, at a worker that answers nothing, is
+   * tried beside itself, if the budget allows. A worker that answers others is only busy, and more
+   * load would not help.
+   */
+  private void hedge(Passage p) {
+    long now = Quay.now();
+    if (p.finished
+        || p.open.size() != 1
+        || !p.open.get(0).silent()
+        || p.attempts >= p.route.maxAttempts()
+        || p.deadline() - now < hedgeAfter(p.route) / 2
+        || p.fairway.pick(now, p.tried) == null
+        || p.counted() && !p.paid && !stores.take(p.shipper.name())) {
+      return;
     }
-
-    /**
-     * A repeatable request that has waited for most of its aim, at a worker that answers nothing, is tried beside
-     * itself, if the budget allows. A worker that answers others is only busy, and more load would not help.
-     */
-    private void hedge(Passage p) {
-        long now = Quay.now();
-        if (p.finished || p.open.size() != 1 || !p.open.get(0).silent() || p.attempts >= p.route.maxAttempts()
-                || p.deadline() - now < hedgeAfter(p.route) / 2 || p.fairway.pick(now, p.tried) == null
-                || p.counted() && !p.paid && !stores.take(p.shipper.name())) {
-            return;
-        }
-        p.paid = p.counted();
-        if (p.fairway.purse.spend(now)) {
-            tally.hedges.increment();
-            dispatch(p);
-        }
+    p.paid = p.counted();
+    if (p.fairway.purse.spend(now)) {
+      tally.hedges.increment();
+      dispatch(p);
     }
-
-    private static Missive toWorker(Passage p, Hull h, long left) {
-        Missive r = p.call.request();
-        Missive m = Missive.request(r.method(), r.target());
-        copyHeaders(r, m, true);
-        if (p.tenanted) {
-            m.headers().removeHeaders(AUTHORIZATION);
-        }
-        m.header(TIME_LEFT, Long.toString(Math.max(1, left / 1000)));
-        m.header(EXPECTED, h.id());
-        if (p.shipper != null) {
-            m.header(TENANT, p.shipper.name());
-        }
-        m.body(r.body());
-        return m;
+  }
+
+  private static Missive toWorker(Passage p, Hull h, long left) {
+    Missive r = p.call.request();
+    Missive m = Missive.request(r.method(), r.target());
+    copyHeaders(r, m, true);
+    if (p.tenanted) {
+      m.headers().removeHeaders(AUTHORIZATION);
     }
-
-    static void copyHeaders(Missive from, Missive to, boolean request) {
-        Set<String> named = new HashSet<>();
-        for (Header h : from.headers().getHeaders("Connection")) {
-            for (String n : h.getValue().split(",")) {
-                named.add(n.trim().toLowerCase(Locale.ROOT));
-            }
-        }
-        for (Header h : from.headers().getHeaders()) {
-            String n = h.getName().toLowerCase(Locale.ROOT);
-            if (HOP.contains(n) || named.contains(n) && !n.startsWith(ANSWERS_ARE_KNOWN_BY) && !n.equals("host")) {
-                continue;
-            }
-            if (request && OWN.contains(n)) {
-                continue;
-            }
-            to.headers().addHeader(h);
-        }
+    m.header(TIME_LEFT, Long.toString(Math.max(1, left / 1000)));
+    m.header(EXPECTED, h.id());
+    if (p.shipper != null) {
+      m.header(TENANT, p.shipper.name());
     }
-
-    /** Takes the attempt off the books; false if it was off them already. */
-    private boolean release(Passage p, Attempt a) {
-        if (!p.open.remove(a)) {
-            return false;
-        }
-        a.hull.released(Quay.now());
-        wake(p.fairway);
-        return true;
-    }
-
-    private void onAnswer(Passage p, Attempt a, Missive m) {
-        Hull h = a.hull;
-        boolean notRun = m.first(NOT_EXECUTED) != null || m.status() == 421;
-        boolean success = m.status() / 100 == 2;
-        if (!notRun) {
-            p.mayHaveRun = true;
-            h.worked(Quay.now());
-            p.fairway.pace.answered(Quay.now() - a.sentAt());
-        }
-        if (!success && !p.open.isEmpty()) {
-            // Another attempt is still at work, and may do better.
-            return;
-        }
-        if (success && m.first(SEAL) == null) {
-            h.failed(Quay.now());
-            if (!p.open.isEmpty()) {
-                return;
-            }
-            broken(p, "the worker's answer is not one to this request");
-            return;
-        }
-        if (notRun) {
-            tally.turnedAway.increment();
-            p.paid = p.counted() && p.open.isEmpty();
-            if (m.status() == 421 && p.fairway.divided()) {
-                LOG.debug("event=not_owner service={} key={} instance={}", p.fairway.name, p.partitionKey, h.id());
-            } else if (m.status() == 421) {
-                h.failed(Quay.now());
-            } else {
-                h.shunUntil = Quay.now() + FULL_SHUN;
-            }
-            if (m.status() == 400) {
-                finishNotRun(p, forward(m));
-            } else {
-                anotherOr(p, true, () -> finishNotRun(p,
-                        Replies.unavailable("the worker turned the request away", comeBack())));
-            }
-            return;
-        }
-        boolean promises = m.status() == 503 || m.status() == 429 || m.status() == 408;
-        if (p.keyed()) {
-            if (promises) {
-                // Nor may a repeat be told so.
-                settle(p, new Flag("unknown"));
-            } else {
-                settleDone(p, m);
-            }
-        }
-        if (p.repeatable() && m.status() >= 500 && m.status() != 504) {
-            anotherOr(p, true, () -> finish(p, forward(m)));
-            return;
-        }
-        if (promises) {
-            // It has run, or may have: these words would promise that it has not.
-            if (p.repeatable()) {
-                finish(p, forward(m));
-            } else {
-                finish(p, Replies.problem(502, "the worker failed"));
-            }
-            return;
-        }
-        tally.answered.increment();
-        finish(p, forward(m));
+    m.body(r.body());
+    return m;
+  }
+
+  static void copyHeaders(Missive from, Missive to, boolean request) {
+    Set<String> named = new HashSet<>();
+    for (Header h : from.headers().getHeaders("Connection")) {
+      for (String n : h.getValue().split(",")) {
+        named.add(n.trim().toLowerCase(Locale.ROOT));
+      }
     }
-
-    private static Missive forward(Missive m) {
-        Missive out = Missive.response(m.status()).body(m.body());
-        copyHeaders(m, out, false);
-        if (m.body().length == 0 && m.first("Content-Length") != null && m.status() != 204 && m.status() != 304) {
-            out.header("Content-Length", m.first("Content-Length"));
-        }
-        return out;
+    for (Header h : from.headers().getHeaders()) {
+      String n = h.getName().toLowerCase(Locale.ROOT);
+      if (HOP.contains(n)
+          || named.contains(n) && !n.startsWith(ANSWERS_ARE_KNOWN_BY) && !n.equals("host")) {
+        continue;
+      }
+      if (request && OWN.contains(n)) {
+        continue;
+      }
+      to.headers().addHeader(h);
     }
+  }
 
-    private void onFailure(Passage p, Hull h, boolean written, String why) {
+  /** Takes the attempt off the books; false if it was off them already. */
+  private boolean release(Passage p, Attempt a) {
+    if (!p.open.remove(a)) {
+      return false;
+    }
+    a.hull.released(Quay.now());
+    wake(p.fairway);
+    return true;
+  }
+
+  private void onAnswer(Passage p, Attempt a, Missive m) {
+    Hull h = a.hull;
+    boolean notRun = m.first(NOT_EXECUTED) != null || m.status() == 421;
+    boolean success = m.status() / 100 == 2;
+    if (!notRun) {
+      p.mayHaveRun = true;
+      h.worked(Quay.now());
+      p.fairway.pace.answered(Quay.now() - a.sentAt());
+    }
+    if (!success && !p.open.isEmpty()) {
+      // Another attempt is still at work, and may do better.
+      return;
+    }
+    if (success && m.first(SEAL) == null) {
+      h.failed(Quay.now());
+      if (!p.open.isEmpty()) {
+        return;
+      }
+      broken(p, "the worker's answer is not one to this request");
+      return;
+    }
+    if (notRun) {
+      tally.turnedAway.increment();
+      p.paid = p.counted() && p.open.isEmpty();
+      if (m.status() == 421 && p.fairway.divided()) {
+        LOG.debug(
+            "event=not_owner service={} key={} instance={}",
+            p.fairway.name,
+            p.partitionKey,
+            h.id());
+      } else if (m.status() == 421) {
         h.failed(Quay.now());
-        tally.failures.increment();
-        if (!p.open.isEmpty()) {
-            return;
-        }
-        LOG.debug("event=attempt_failed service={} instance={} written={} why={}", p.fairway.name, h.id(), written,
-                why);
-        if (!written) {
-            p.paid = p.counted();
-            // No byte went out, so no worker has it: another may be tried, and it costs the budget nothing.
-            anotherOr(p, false, () -> finishNotRun(p, Replies.unavailable("no worker could be reached", comeBack())));
-            return;
-        }
-        broken(p, "the worker broke off");
+      } else {
+        h.shunUntil = Quay.now() + FULL_SHUN;
+      }
+      if (m.status() == 400) {
+        finishNotRun(p, forward(m));
+      } else {
+        anotherOr(
+            p,
+            true,
+            () ->
+                finishNotRun(
+                    p, Replies.unavailable("the worker turned the request away", comeBack())));
+      }
+      return;
     }
-
-    private void broken(Passage p, String cause) {
-        p.mayHaveRun = true;
-        if (p.repeatable()) {
-            anotherOr(p, true, () -> finish(p, Replies.problem(502, cause)));
-            return;
-        }
-        if (p.keyed()) {
-            settleUnknown(p);
-        }
-        finish(p, Replies.problem(502, cause));
+    boolean promises = m.status() == 503 || m.status() == 429 || m.status() == 408;
+    if (p.keyed()) {
+      if (promises) {
+        // Nor may a repeat be told so.
+        settle(p, new Flag("unknown"));
+      } else {
+        settleDone(p, m);
+      }
     }
-
-    /** Sends it to another worker if route, time and budget allow; else does the other thing. */
-    private void anotherOr(Passage p, boolean arrived, Runnable otherwise) {
-        long now = Quay.now();
-        boolean allowed = p.attempts < Math.max(arrived ? p.route.maxAttempts() : p.route.maxAttempts() + 1, 1)
-                && p.deadline() - now > 4 * LEAST_LEFT;
-        if (allowed && p.fairway.divided()) {
+    if (p.repeatable() && m.status() >= 500 && m.status() != 504) {
+      anotherOr(p, true, () -> finish(p, forward(m)));
+      return;
+    }
+    if (promises) {
+      // It has run, or may have: these words would promise that it has not.
+      if (p.repeatable()) {
+        finish(p, forward(m));
+      } else {
+        finish(p, Replies.problem(502, "the worker failed"));
+      }
+      return;
+    }
+    tally.answered.increment();
+    finish(p, forward(m));
+  }
+
+  private static Missive forward(Missive m) {
+    Missive out = Missive.response(m.status()).body(m.body());
+    copyHeaders(m, out, false);
+    if (m.body().length == 0
+        && m.first("Content-Length") != null
+        && m.status() != 204
+        && m.status() != 304) {
+      out.header("Content-Length", m.first("Content-Length"));
+    }
+    return out;
+  }
+
+  private void onFailure(Passage p, Hull h, boolean written, String why) {
+    h.failed(Quay.now());
+    tally.failures.increment();
+    if (!p.open.isEmpty()) {
+      return;
+    }
+    LOG.debug(
+        "event=attempt_failed service={} instance={} written={} why={}",
+        p.fairway.name,
+        h.id(),
+        written,
+        why);
+    if (!written) {
+      p.paid = p.counted();
+      // No byte went out, so no worker has it: another may be tried, and it costs the budget
+      // nothing.
+      anotherOr(
+          p,
+          false,
+          () -> finishNotRun(p, Replies.unavailable("no worker could be reached", comeBack())));
+      return;
+    }
+    broken(p, "the worker broke off");
+  }
+
+  private void broken(Passage p, String cause) {
+    p.mayHaveRun = true;
+    if (p.repeatable()) {
+      anotherOr(p, true, () -> finish(p, Replies.problem(502, cause)));
+      return;
+    }
+    if (p.keyed()) {
+      settleUnknown(p);
+    }
+    finish(p, Replies.problem(502, cause));
+  }
+
+  /** Sends it to another worker if route, time and budget allow; else does the other thing. */
+  private void anotherOr(Passage p, boolean arrived, Runnable otherwise) {
+    long now = Quay.now();
+    boolean allowed =
+        p.attempts < Math.max(arrived ? p.route.maxAttempts() : p.route.maxAttempts() + 1, 1)
+            && p.deadline() - now > 4 * LEAST_LEFT;
+    if (allowed && p.fairway.divided()) {
+      toOwnerAgain(p, arrived, otherwise);
+      return;
+    }
+    if (!allowed
+        || p.fairway.pick(now, p.tried) == null
+        || (arrived && !p.fairway.purse.spend(now))) {
+      otherwise.run();
+      return;
+    }
+    retry(p, otherwise);
+  }
+
+  /** Sends it once more, on another token of the quota if the one before was used. */
+  private void retry(Passage p, Runnable otherwise) {
+    tally.retries.increment();
+    if (p.counted() && !p.paid) {
+      pay(p, () -> dispatch(p), over -> otherwise.run());
+    } else {
+      dispatch(p);
+    }
+  }
+
+  /**
+   * Only the owner of the key can serve it: it is tried once more a moment later, if word of
+   * another has come by then.
+   */
+  private void toOwnerAgain(Passage p, boolean arrived, Runnable otherwise) {
+    quay.after(
+        OWNER_AGAIN,
+        () -> {
+          long now = Quay.now();
+          if (p.finished) {
+            return;
+          }
+          if (p.fairway.pick(now, Set.of(), p.partitionKey) == null
+              && now + OWNER_AGAIN < p.refuseAt()) {
             toOwnerAgain(p, arrived, otherwise);
             return;
-        }
-        if (!allowed || p.fairway.pick(now, p.tried) == null || (arrived && !p.fairway.purse.spend(now))) {
+          }
+          if (p.fairway.pick(now, Set.of(), p.partitionKey) == null
+              || arrived && !p.fairway.purse.spend(now)) {
             otherwise.run();
             return;
-        }
-        retry(p, otherwise);
-    }
-
-    /** Sends it once more, on another token of the quota if the one before was used. */
-    private void retry(Passage p, Runnable otherwise) {
-        tally.retries.increment();
-        if (p.counted() && !p.paid) {
-            pay(p, () -> dispatch(p), over -> otherwise.run());
-        } else {
-            dispatch(p);
-        }
-    }
-
-    /** Only the owner of the key can serve it: it is tried once more a moment later, if word of another has come by then. */
-    private void toOwnerAgain(Passage p, boolean arrived, Runnable otherwise) {
-        quay.after(OWNER_AGAIN, () -> {
-            long now = Quay.now();
-            if (p.finished) {
-                return;
-            }
-            if (p.fairway.pick(now, Set.of(), p.partitionKey) == null && now + OWNER_AGAIN < p.refuseAt()) {
-                toOwnerAgain(p, arrived, otherwise);
-                return;
-            }
-            if (p.fairway.pick(now, Set.of(), p.partitionKey) == null || arrived && !p.fairway.purse.spend(now)) {
-                otherwise.run();
-                return;
-            }
-            retry(p, otherwise);
+          }
+          retry(p, otherwise);
         });
+  }
+
+  private void finishNotRun(Passage p, Missive answer) {
+    if (p.mayHaveRun && !p.repeatable()) {
+      if (p.keyed()) {
+        settleUnknown(p);
+      }
+      finish(p, Replies.problem(502, "the outcome is not known"));
+      return;
     }
-
-    private void finishNotRun(Passage p, Missive answer) {
-        if (p.mayHaveRun && !p.repeatable()) {
-            if (p.keyed()) {
-                settleUnknown(p);
-            }
-            finish(p, Replies.problem(502, "the outcome is not known"));
-            return;
-        }
-        if (p.claimed && !p.freed) {
-            free(p);
-        }
-        finish(p, answer);
+    if (p.claimed && !p.freed) {
+      free(p);
     }
+    finish(p, answer);
+  }
 
-    /** Answers that the request has not run and never will. */
-    private void refuse(Passage p, String cause) {
-        tally.refused.increment();
-        finishNotRun(p, Replies.unavailable(cause, comeBack()));
-    }
+  /** Answers that the request has not run and never will. */
+  private void refuse(Passage p, String cause) {
+    tally.refused.increment();
+    finishNotRun(p, Replies.unavailable(cause, comeBack()));
+  }
 
-    private double comeBack() {
-        return 0.15 + 0.25 * random.nextDouble();
-    }
+  private double comeBack() {
+    return 0.15 + 0.25 * random.nextDouble();
+  }
 
-    // ----------------------------------------------------------------- queue
+  // ----------------------------------------------------------------- queue
 
-    private void wake(Fairway f) {
-        if (f.waiting.isEmpty()) {
-            return;
-        }
-        if (f.divided()) {
-            wakeOwned(f);
-            return;
-        }
-        quay.after(0, () -> {
-            while (!f.waiting.isEmpty() && f.pick(Quay.now(), Set.of()) != null) {
-                dispatch(f.waiting.poll());
-            }
-        });
+  private void wake(Fairway f) {
+    if (f.waiting.isEmpty()) {
+      return;
     }
-
-    /** Of those that wait for the owners of their keys, sends the ones whose owner can take them now. */
-    private void wakeOwned(Fairway f) {
-        if (f.wakeDue) {
-            return;
-        }
-        f.wakeDue = true;
-        quay.after(0, () -> {
-            f.wakeDue = false;
-            List<Passage> waiting = new ArrayList<>(f.waiting);
-            waiting.sort(f.waiting.comparator());
-            for (Passage p : waiting) {
-                if (f.pick(Quay.now(), Set.of(), p.partitionKey) != null && f.waiting.remove(p)) {
-                    dispatch(p);
-                }
-            }
+    if (f.divided()) {
+      wakeOwned(f);
+      return;
+    }
+    quay.after(
+        0,
+        () -> {
+          while (!f.waiting.isEmpty() && f.pick(Quay.now(), Set.of()) != null) {
+            dispatch(f.waiting.poll());
+          }
         });
+  }
+
+  /**
+   * Of those that wait for the owners of their keys, sends the ones whose owner can take them now.
+   */
+  private void wakeOwned(Fairway f) {
+    if (f.wakeDue) {
+      return;
     }
-
-    private void checkWaiting() {
-        if (waitCheckDue) {
-            return;
-        }
-        waitCheckDue = true;
-        quay.after(WAIT_CHECK, () -> {
-            waitCheckDue = false;
-            long now = Quay.now();
-            boolean more = false;
-            for (Fairway f : fairways.each()) {
-                List<Passage> late = f.takeExpired(now);
-                late.forEach(p -> refuse(p, "no worker had room in time"));
-                wake(f);
-                more |= !f.waiting.isEmpty();
-            }
-            if (more) {
-                checkWaiting();
+    f.wakeDue = true;
+    quay.after(
+        0,
+        () -> {
+          f.wakeDue = false;
+          List<Passage> waiting = new ArrayList<>(f.waiting);
+          waiting.sort(f.waiting.comparator());
+          for (Passage p : waiting) {
+            if (f.pick(Quay.now(), Set.of(), p.partitionKey) != null && f.waiting.remove(p)) {
+              dispatch(p);
             }
+          }
         });
+  }
+
+  private void checkWaiting() {
+    if (waitCheckDue) {
+      return;
     }
+    waitCheckDue = true;
+    quay.after(
+        WAIT_CHECK,
+        () -> {
+          waitCheckDue = false;
+          long now = Quay.now();
+          boolean more = false;
+          for (Fairway f : fairways.each()) {
+            List<Passage> late = f.takeExpired(now);
+            late.forEach(p -> refuse(p, "no worker had room in time"));
+            wake(f);
+            more |= !f.waiting.isEmpty();
+          }
+          if (more) {
+            checkWaiting();
+          }
+        });
+  }
 }
--- a/src/main/java/org/otterpond/chart/Configuration.java
+++ b/src/main/java/org/otterpond/chart/Configuration.java
@@ -8,65 +8,70 @@
 
 /** One version of the configuration, checked, with its routes arranged for look-up. */
 public final class Configuration {
-    private final long revision;
-    private final Map<String, List<Route>> routesByHost = new HashMap<>();
-    private final Map<String, Service> services;
-    private final Limits limits;
-    private final List<Shipper> shippers;
-    private final Map<String, Shipper> shipperOfKey = new HashMap<>();
+  private final long revision;
+  private final Map<String, List<Route>> routesByHost = new HashMap<>();
+  private final Map<String, Service> services;
+  private final Limits limits;
+  private final List<Shipper> shippers;
+  private final Map<String, Shipper> shipperOfKey = new HashMap<>();
 
-    Configuration(long revision, List<Route> routes, Map<String, Service> services, Limits limits,
-            List<Shipper> shippers) {
-        this.shippers = List.copyOf(shippers);
-        shippers.forEach(s -> s.keys().forEach(k -> shipperOfKey.put(k, s)));
-        this.revision = revision;
-        this.services = Map.copyOf(services);
-        this.limits = limits;
-        for (Route r : routes) {
-            routesByHost.computeIfAbsent(r.host(), h -> new ArrayList<>()).add(r);
-        }
-        routesByHost.values().forEach(l ->
-                l.sort((a, b) -> Integer.compare(b.prefix().length(), a.prefix().length())));
+  Configuration(
+      long revision,
+      List<Route> routes,
+      Map<String, Service> services,
+      Limits limits,
+      List<Shipper> shippers) {
+    this.shippers = List.copyOf(shippers);
+    shippers.forEach(s -> s.keys().forEach(k -> shipperOfKey.put(k, s)));
+    this.revision = revision;
+    this.services = Map.copyOf(services);
+    this.limits = limits;
+    for (Route r : routes) {
+      routesByHost.computeIfAbsent(r.host(), h -> new ArrayList<>()).add(r);
     }
+    routesByHost
+        .values()
+        .forEach(l -> l.sort((a, b) -> Integer.compare(b.prefix().length(), a.prefix().length())));
+  }
 
-    public long revision() {
-        return revision;
-    }
+  public long revision() {
+    return revision;
+  }
 
-    public Limits limits() {
-        return limits;
-    }
+  public Limits limits() {
+    return limits;
+  }
 
-    public List<Shipper> shippers() {
-        return shippers;
-    }
+  public List<Shipper> shippers() {
+    return shippers;
+  }
 
-    /** Whether requests must bring an access key, but on public routes. */
-    public boolean closed() {
-        return !shippers.isEmpty();
-    }
+  /** Whether requests must bring an access key, but on public routes. */
+  public boolean closed() {
+    return !shippers.isEmpty();
+  }
 
-    /** The tenant that holds the key, or null. */
-    public Shipper shipperOf(String key) {
-        return shipperOfKey.get(key);
-    }
+  /** The tenant that holds the key, or null. */
+  public Shipper shipperOf(String key) {
+    return shipperOfKey.get(key);
+  }
 
-    public Map<String, Service> services() {
-        return services;
-    }
+  public Map<String, Service> services() {
+    return services;
+  }
 
-    /** The route with the longest prefix that begins the path, or null. */
-    public Route route(String hostHeader, String path) {
-        String host = hostHeader.toLowerCase(Locale.ROOT);
-        int colon = host.lastIndexOf(':');
-        if (colon > 0 && host.indexOf(']', colon) < 0) {
-            host = host.substring(0, colon);
-        }
-        for (Route r : routesByHost.getOrDefault(host, List.of())) {
-            if (path.startsWith(r.prefix())) {
-                return r;
-            }
-        }
-        return null;
+  /** The route with the longest prefix that begins the path, or null. */
+  public Route route(String hostHeader, String path) {
+    String host = hostHeader.toLowerCase(Locale.ROOT);
+    int colon = host.lastIndexOf(':');
+    if (colon > 0 && host.indexOf(']', colon) < 0) {
+      host = host.substring(0, colon);
+    }
+    for (Route r : routesByHost.getOrDefault(host, List.of())) {
+      if (path.startsWith(r.prefix())) {
+        return r;
+      }
     }
+    return null;
+  }
 }
--- a/src/main/java/org/otterpond/chart/RouteType.java
+++ b/src/main/java/org/otterpond/chart/RouteType.java
@@ -2,16 +2,24 @@
 
 /** What may be repeated on a route. */
 public enum RouteType {
-    IDEMPOTENT, NON_IDEMPOTENT, KEYED, ASYNCHRONOUS;
+  IDEMPOTENT,
+  NON_IDEMPOTENT,
+  KEYED,
+  ASYNCHRONOUS;
 
-    static RouteType of(String word, String at) throws ChartException {
-        switch (word) {
-            case "idempotent": return IDEMPOTENT;
-            case "non_idempotent": return NON_IDEMPOTENT;
-            case "keyed": return KEYED;
-            case "asynchronous": return ASYNCHRONOUS;
-            default: throw new ChartException(at
-                    + ": idempotent, non_idempotent, keyed or asynchronous is wanted");
-        }
+  static RouteType of(String word, String at) throws ChartException {
+    switch (word) {
+      case "idempotent":
+        return IDEMPOTENT;
+      case "non_idempotent":
+        return NON_IDEMPOTENT;
+      case "keyed":
+        return KEYED;
+      case "asynchronous":
+        return ASYNCHRONOUS;
+      default:
+        throw new ChartException(
+            at + ": idempotent, non_idempotent, keyed or asynchronous is wanted");
     }
+  }
 }
--- a/src/main/java/org/otterpond/client/ConfigCommand.java
+++ b/src/main/java/org/otterpond/client/ConfigCommand.java
@@ -17,55 +17,82 @@
 import picocli.CommandLine.Parameters;
 
 /** Reads, checks and changes the configuration. */
-@Command(name = "config", description = "Reads, checks and changes the configuration.",
-        mixinStandardHelpOptions = true)
+@Command(
+    name = "config",
+    description = "Reads, checks and changes the configuration.",
+    mixinStandardHelpOptions = true)
 final class ConfigCommand {
-    private static final Gson PRETTY = new GsonBuilder().setPrettyPrinting().disableHtmlEscaping().create();
+  private static final Gson PRETTY =
+      new GsonBuilder().setPrettyPrinting().disableHtmlEscaping().create();
 
-    @Command(name = "get", description = "Prints the newest configuration, whole.", mixinStandardHelpOptions = true)
-    int get(@Mixin Connection at) throws ClientException, ChartException {
-        System.out.println(PRETTY.toJson(Fields.parse(at.open().get("/-/Configuration.Read"))));
-        return 0;
-    }
+  @Command(
+      name = "get",
+      description = "Prints the newest configuration, whole.",
+      mixinStandardHelpOptions = true)
+  int get(@Mixin Connection at) throws ClientException, ChartException {
+    System.out.println(PRETTY.toJson(Fields.parse(at.open().get("/-/Configuration.Read"))));
+    return 0;
+  }
 
-    @Command(name = "replace", description = "Puts a whole configuration in place of the current one.",
-            mixinStandardHelpOptions = true)
-    int replace(@Mixin Connection at, @Parameters(paramLabel = "FILE") Path file,
-            @Option(names = "--base", required = true, paramLabel = "REVISION",
-                    description = "The revision it builds on; 0 for the first.") long base)
-            throws ClientException, ChartException {
-        JsonObject whole = read(file);
-        ConfigurationReader.read(whole);
-        return send(at, "/-/Configuration.Replace", whole, base);
-    }
+  @Command(
+      name = "replace",
+      description = "Puts a whole configuration in place of the current one.",
+      mixinStandardHelpOptions = true)
+  int replace(
+      @Mixin Connection at,
+      @Parameters(paramLabel = "FILE") Path file,
+      @Option(
+              names = "--base",
+              required = true,
+              paramLabel = "REVISION",
+              description = "The revision it builds on; 0 for the first.")
+          long base)
+      throws ClientException, ChartException {
+    JsonObject whole = read(file);
+    ConfigurationReader.read(whole);
+    return send(at, "/-/Configuration.Replace", whole, base);
+  }
 
-    @Command(name = "modify", description = "Changes named items of the configuration.",
-            mixinStandardHelpOptions = true)
-    int modify(@Mixin Connection at, @Parameters(paramLabel = "FILE") Path file,
-            @Option(names = "--base", required = true, paramLabel = "REVISION",
-                    description = "The revision it builds on.") long base) throws ClientException, ChartException {
-        return send(at, "/-/Configuration.Modify", read(file), base);
-    }
+  @Command(
+      name = "modify",
+      description = "Changes named items of the configuration.",
+      mixinStandardHelpOptions = true)
+  int modify(
+      @Mixin Connection at,
+      @Parameters(paramLabel = "FILE") Path file,
+      @Option(
+              names = "--base",
+              required = true,
+              paramLabel = "REVISION",
+              description = "The revision it builds on.")
+          long base)
+      throws ClientException, ChartException {
+    return send(at, "/-/Configuration.Modify", read(file), base);
+  }
 
-    @Command(name = "validate", description = "Checks a whole configuration without sending it.",
-            mixinStandardHelpOptions = true)
-    int validate(@Parameters(paramLabel = "FILE") Path file) throws ChartException {
-        Configuration c = ConfigurationReader.read(read(file));
-        System.out.println("valid: revision " + c.revision() + ", " + c.services().size() + " services");
-        return 0;
-    }
+  @Command(
+      name = "validate",
+      description = "Checks a whole configuration without sending it.",
+      mixinStandardHelpOptions = true)
+  int validate(@Parameters(paramLabel = "FILE") Path file) throws ChartException {
+    Configuration c = ConfigurationReader.read(read(file));
+    System.out.println(
+        "valid: revision " + c.revision() + ", " + c.services().size() + " services");
+    return 0;
+  }
 
-    private static JsonObject read(Path file) throws ChartException {
-        try {
-            return Fields.parse(Files.readString(file, StandardCharsets.UTF_8));
-        } catch (IOException e) {
-            throw new ChartException(file + ": not readable");
-        }
+  private static JsonObject read(Path file) throws ChartException {
+    try {
+      return Fields.parse(Files.readString(file, StandardCharsets.UTF_8));
+    } catch (IOException e) {
+      throw new ChartException(file + ": not readable");
     }
+  }
 
-    private static int send(Connection at, String path, JsonObject body, long base) throws ClientException {
-        at.open().post(path, body.toString(), base);
-        System.out.println("taken: revision " + body.get("revision"));
-        return 0;
-    }
+  private static int send(Connection at, String path, JsonObject body, long base)
+      throws ClientException {
+    at.open().post(path, body.toString(), base);
+    System.out.println("taken: revision " + body.get("revision"));
+    return 0;
+  }
 }
--- a/src/main/java/org/otterpond/client/ControlCall.java
+++ b/src/main/java/org/otterpond/client/ControlCall.java
@@ -27,86 +27,98 @@
 
 /** Calls of the control points, one after another until one gives a clear answer. */
 final class ControlCall {
-    private static final Timeout PATIENCE = Timeout.ofSeconds(4);
-    private static final int ROUNDS = 3;
-    private static final int HOPS = 2;
+  private static final Timeout PATIENCE = Timeout.ofSeconds(4);
+  private static final int ROUNDS = 3;
+  private static final int HOPS = 2;
 
-    private final List<String> nodes;
+  private final List<String> nodes;
 
-    ControlCall(List<String> nodes) {
-        this.nodes = nodes;
-    }
+  ControlCall(List<String> nodes) {
+    this.nodes = nodes;
+  }
 
-    String get(String path) throws ClientException {
-        return call("GET", path, null, Map.of());
-    }
+  String get(String path) throws ClientException {
+    return call("GET", path, null, Map.of());
+  }
 
-    String post(String path, String body, long base) throws ClientException {
-        return call("POST", path, body, Map.of("X-Otterpond-Base-Revision", Long.toString(base)));
-    }
+  String post(String path, String body, long base) throws ClientException {
+    return call("POST", path, body, Map.of("X-Otterpond-Base-Revision", Long.toString(base)));
+  }
 
-    String post(String path, String body) throws ClientException {
-        return call("POST", path, body, Map.of());
-    }
+  String post(String path, String body) throws ClientException {
+    return call("POST", path, body, Map.of());
+  }
 
-    String get(String path, Map<String, String> headers) throws ClientException {
-        return call("GET", path, null, headers);
-    }
+  String get(String path, Map<String, String> headers) throws ClientException {
+    return call("GET", path, null, headers);
+  }
 
-    private String call(String method, String path, String body, Map<String, String> headers) throws ClientException {
-        List<String> failures = new ArrayList<>();
-        for (int round = 0; round < ROUNDS; round++) {
-            for (String node : nodes) {
-                try {
-                    Said said = ask("http://" + node, method, path, body, headers);
-                    for (int hop = 0; hop < HOPS && said.status() == 307 && said.location() != null; hop++) {
-                        URI there = new URI(said.location());
-                        said = ask(there.getScheme() + "://" + there.getAuthority(), method, there.getPath(), body,
-                                headers);
-                    }
-                    if (said.status() / 100 == 2) {
-                        return said.text();
-                    }
-                    if (said.status() / 100 == 4 && said.status() != 408 && said.status() != 429) {
-                        throw new ClientException(ClientException.REFUSED, said.status() + ": " + cause(said.text()));
-                    }
-                    failures.add(node + ": " + said.status() + " " + cause(said.text()));
-                } catch (IOException | HttpException e) {
-                    failures.add(node + ": " + e.getMessage());
-                } catch (URISyntaxException e) {
-                    throw new ClientException(2, "--node: host:port is wanted, not " + node);
-                }
-            }
+  private String call(String method, String path, String body, Map<String, String> headers)
+      throws ClientException {
+    List<String> failures = new ArrayList<>();
+    for (int round = 0; round < ROUNDS; round++) {
+      for (String node : nodes) {
+        try {
+          Said said = ask("http://" + node, method, path, body, headers);
+          for (int hop = 0; hop < HOPS && said.status() == 307 && said.location() != null; hop++) {
+            URI there = new URI(said.location());
+            said =
+                ask(
+                    there.getScheme() + "://" + there.getAuthority(),
+                    method,
+                    there.getPath(),
+                    body,
+                    headers);
+          }
+          if (said.status() / 100 == 2) {
+            return said.text();
+          }
+          if (said.status() / 100 == 4 && said.status() != 408 && said.status() != 429) {
+            throw new ClientException(
+                ClientException.REFUSED, said.status() + ": " + cause(said.text()));
+          }
+          failures.add(node + ": " + said.status() + " " + cause(said.text()));
+        } catch (IOException | HttpException e) {
+          failures.add(node + ": " + e.getMessage());
+        } catch (URISyntaxException e) {
+          throw new ClientException(2, "--node: host:port is wanted, not " + node);
         }
-        throw new ClientException(ClientException.UNREACHED, "no clear answer; the last: "
-                + failures.get(failures.size() - 1));
+      }
     }
+    throw new ClientException(
+        ClientException.UNREACHED,
+        "no clear answer; the last: " + failures.get(failures.size() - 1));
+  }
 
-    private record Said(int status, String location, String text) {}
+  private record Said(int status, String location, String text) {}
 
-    private static Said ask(String host, String method, String path, String body, Map<String, String> headers)
-            throws IOException, HttpException, URISyntaxException {
-        ClassicHttpRequest r = ClassicRequestBuilder.create(method).setPath(path).build();
-        if (body != null) {
-            r.setEntity(new StringEntity(body, ContentType.APPLICATION_JSON));
-        }
-        headers.forEach(r::setHeader);
-        try (HttpRequester requester = RequesterBootstrap.bootstrap()
-                .setSocketConfig(SocketConfig.custom().setSoTimeout(PATIENCE).build()).create();
-                ClassicHttpResponse a = requester.execute(HttpHost.create(host), r, PATIENCE,
-                        HttpCoreContext.create())) {
-            String text = a.getEntity() == null ? "" : EntityUtils.toString(a.getEntity(), StandardCharsets.UTF_8);
-            Header location = a.getFirstHeader("Location");
-            return new Said(a.getCode(), location == null ? null : location.getValue(), text);
-        }
+  private static Said ask(
+      String host, String method, String path, String body, Map<String, String> headers)
+      throws IOException, HttpException, URISyntaxException {
+    ClassicHttpRequest r = ClassicRequestBuilder.create(method).setPath(path).build();
+    if (body != null) {
+      r.setEntity(new StringEntity(body, ContentType.APPLICATION_JSON));
+    }
+    headers.forEach(r::setHeader);
+    try (HttpRequester requester =
+            RequesterBootstrap.bootstrap()
+                .setSocketConfig(SocketConfig.custom().setSoTimeout(PATIENCE).build())
+                .create();
+        ClassicHttpResponse a =
+            requester.execute(HttpHost.create(host), r, PATIENCE, HttpCoreContext.create())) {
+      String text =
+          a.getEntity() == null ? "" : EntityUtils.toString(a.getEntity(), StandardCharsets.UTF_8);
+      Header location = a.getFirstHeader("Location");
+      return new Said(a.getCode(), location == null ? null : location.getValue(), text);
     }
+  }
 
-    private static String cause(String text) {
-        try {
-            JsonObject o = Fields.parse(text);
-            return o.has("cause") ? o.get("cause").getAsString() : text;
-        } catch (ChartException e) {
-            return text;
-        }
+  private static String cause(String text) {
+    try {
+      JsonObject o = Fields.parse(text);
+      return o.has("cause") ? o.get("cause").getAsString() : text;
+    } catch (ChartException e) {
+      return text;
     }
+  }
 }
--- a/src/main/java/org/otterpond/client/MessageCommand.java
+++ b/src/main/java/org/otterpond/client/MessageCommand.java
@@ -10,41 +10,54 @@
 import picocli.CommandLine.Parameters;
 
 /** Asks for a message that was accepted; at a front point, with a key of its tenant. */
-@Command(name = "message", description = "Asks for a message that was accepted. The node is named by its front point.",
-        mixinStandardHelpOptions = true)
+@Command(
+    name = "message",
+    description = "Asks for a message that was accepted. The node is named by its front point.",
+    mixinStandardHelpOptions = true)
 final class MessageCommand {
-    @Command(name = "state", description = "Prints queued, completed (with the run's stamp) or dead_letter.",
-            mixinStandardHelpOptions = true)
-    int state(@Mixin Connection at, @Parameters(paramLabel = "ID") String id, @Mixin Whose whose)
-            throws ClientException, ChartException {
-        Fields f = Fields.of(Fields.parse(at.open().get("/-/message/" + id, whose.headers())), "");
-        System.out.println(f.text("state") + (f.has("timestamp") ? " " + f.text("timestamp") : ""));
-        return 0;
-    }
+  @Command(
+      name = "state",
+      description = "Prints queued, completed (with the run's stamp) or dead_letter.",
+      mixinStandardHelpOptions = true)
+  int state(@Mixin Connection at, @Parameters(paramLabel = "ID") String id, @Mixin Whose whose)
+      throws ClientException, ChartException {
+    Fields f = Fields.of(Fields.parse(at.open().get("/-/message/" + id, whose.headers())), "");
+    System.out.println(f.text("state") + (f.has("timestamp") ? " " + f.text("timestamp") : ""));
+    return 0;
+  }
 
-    @Command(name = "body", description = "Prints the bytes of a message that is queued or dead.",
-            mixinStandardHelpOptions = true)
-    int body(@Mixin Connection at, @Parameters(paramLabel = "ID") String id, @Mixin Whose whose)
-            throws ClientException {
-        System.out.print(at.open().get("/-/message-body/" + id, whose.headers()));
-        return 0;
-    }
+  @Command(
+      name = "body",
+      description = "Prints the bytes of a message that is queued or dead.",
+      mixinStandardHelpOptions = true)
+  int body(@Mixin Connection at, @Parameters(paramLabel = "ID") String id, @Mixin Whose whose)
+      throws ClientException {
+    System.out.print(at.open().get("/-/message-body/" + id, whose.headers()));
+    return 0;
+  }
 
-    /** Whose message it is. */
-    static final class Whose {
-        @Option(names = "--host", required = true, paramLabel = "HOST", description = "The host it was sent to.")
-        private String host;
+  /** Whose message it is. */
+  static final class Whose {
+    @Option(
+        names = "--host",
+        required = true,
+        paramLabel = "HOST",
+        description = "The host it was sent to.")
+    private String host;
 
-        @Option(names = "--key", paramLabel = "KEY", description = "An access key of its tenant, where there are any.")
-        private String key;
+    @Option(
+        names = "--key",
+        paramLabel = "KEY",
+        description = "An access key of its tenant, where there are any.")
+    private String key;
 
-        Map<String, String> headers() {
-            Map<String, String> out = new HashMap<>();
-            out.put("Host", host);
-            if (key != null) {
-                out.put("Authorization", "Bearer " + key);
-            }
-            return out;
-        }
+    Map<String, String> headers() {
+      Map<String, String> out = new HashMap<>();
+      out.put("Host", host);
+      if (key != null) {
+        out.put("Authorization", "Bearer " + key);
+      }
+      return out;
     }
+  }
 }
--- a/src/main/java/org/otterpond/client/StatusCommand.java
+++ b/src/main/java/org/otterpond/client/StatusCommand.java
@@ -8,26 +8,29 @@
 import picocli.CommandLine.Option;
 
 /** Prints who leads, how the fleet stands zone by zone, and what lags. */
-@Command(name = "status", description = "Prints who leads, the nodes and workers of each zone, and what lags behind or "
-        + "is leaving.", mixinStandardHelpOptions = true)
+@Command(
+    name = "status",
+    description =
+        "Prints who leads, the nodes and workers of each zone, and what lags behind or "
+            + "is leaving.",
+    mixinStandardHelpOptions = true)
 final class StatusCommand implements Callable<Integer> {
-    @Mixin
-    private Connection at;
+  @Mixin private Connection at;
 
-    @Option(names = "--all", description = "Lists every node and every worker.")
-    private boolean all;
+  @Option(names = "--all", description = "Lists every node and every worker.")
+  private boolean all;
 
-    @Option(names = "--json", description = "Prints the answer as it came.")
-    private boolean json;
+  @Option(names = "--json", description = "Prints the answer as it came.")
+  private boolean json;
 
-    @Override
-    public Integer call() throws ClientException, ChartException {
-        String text = at.open().get("/-/status");
-        if (json) {
-            System.out.println(text);
-        } else {
-            StatusPage.of(Fields.parse(text), all).forEach(System.out::println);
-        }
-        return 0;
+  @Override
+  public Integer call() throws ClientException, ChartException {
+    String text = at.open().get("/-/status");
+    if (json) {
+      System.out.println(text);
+    } else {
+      StatusPage.of(Fields.parse(text), all).forEach(System.out::println);
     }
+    return 0;
+  }
 }
--- a/src/main/java/org/otterpond/drill/TrialWorker.java
+++ b/src/main/java/org/otterpond/drill/TrialWorker.java
@@ -13,40 +13,51 @@
 import picocli.CommandLine.Parameters;
 
 /** A stand-in worker that registers itself, for trying a system by hand. */
-@Command(name = "trial-worker", description = "Runs a stand-in worker that registers with the system given.",
-        mixinStandardHelpOptions = true)
+@Command(
+    name = "trial-worker",
+    description = "Runs a stand-in worker that registers with the system given.",
+    mixinStandardHelpOptions = true)
 public final class TrialWorker implements java.util.concurrent.Callable<Integer> {
-    private static final long BEAT_MILLIS = 1_500;
+  private static final long BEAT_MILLIS = 1_500;
 
-    @Option(names = {"-n", "--node"}, required = true, split = ",", paramLabel = "HOST:PORT",
-            description = "Control points to beat to.")
-    private java.util.List<String> nodes;
+  @Option(
+      names = {"-n", "--node"},
+      required = true,
+      split = ",",
+      paramLabel = "HOST:PORT",
+      description = "Control points to beat to.")
+  private java.util.List<String> nodes;
 
-    @Option(names = "--service", required = true, description = "The service it works for.")
-    private String service;
+  @Option(names = "--service", required = true, description = "The service it works for.")
+  private String service;
 
-    @Option(names = "--zone", defaultValue = "-", description = "Its zone.")
-    private String zone;
+  @Option(names = "--zone", defaultValue = "-", description = "Its zone.")
+  private String zone;
 
-    @Parameters(paramLabel = "HOST:PORT", description = "Where it listens.")
-    private String address;
+  @Parameters(paramLabel = "HOST:PORT", description = "Where it listens.")
+  private String address;
 
-    @Override
-    public Integer call() throws IOException {
-        String id = "i-trial-" + Long.toHexString(System.nanoTime());
-        Quay quay = new Quay();
-        new StandInWorker(quay, id, Links.address(address));
-        AtomicLong sequence = new AtomicLong();
-        ScheduledExecutorService beats = Executors.newSingleThreadScheduledExecutor(r -> {
-            Thread t = new Thread(r, "beats");
-            t.setDaemon(true);
-            return t;
-        });
-        Beats to = new Beats(nodes);
-        beats.scheduleWithFixedDelay(() -> to.beat(id, service, address, zone, sequence.incrementAndGet()), 0,
-                BEAT_MILLIS, TimeUnit.MILLISECONDS);
-        System.out.println("event=worker_started instance=" + id + " address=" + address);
-        quay.run();
-        return 0;
-    }
+  @Override
+  public Integer call() throws IOException {
+    String id = "i-trial-" + Long.toHexString(System.nanoTime());
+    Quay quay = new Quay();
+    new StandInWorker(quay, id, Links.address(address));
+    AtomicLong sequence = new AtomicLong();
+    ScheduledExecutorService beats =
+        Executors.newSingleThreadScheduledExecutor(
+            r -> {
+              Thread t = new Thread(r, "beats");
+              t.setDaemon(true);
+              return t;
+            });
+    Beats to = new Beats(nodes);
+    beats.scheduleWithFixedDelay(
+        () -> to.beat(id, service, address, zone, sequence.incrementAndGet()),
+        0,
+        BEAT_MILLIS,
+        TimeUnit.MILLISECONDS);
+    System.out.println("event=worker_started instance=" + id + " address=" + address);
+    quay.run();
+    return 0;
+  }
 }
--- a/src/main/java/org/otterpond/harbour/Founding.java
+++ b/src/main/java/org/otterpond/harbour/Founding.java
@@ -9,158 +9,170 @@
 import org.otterpond.signal.Flag;
 
 /**
- * The one decision taken before there is a core: its first record. The seeds decide it among themselves by a
- * single-decree ballot (Paxos), each in its first life only, so that a seed that forgot what it promised has no vote.
+ * The one decision taken before there is a core: its first record. The seeds decide it among
+ * themselves by a single-decree ballot (Paxos), each in its first life only, so that a seed that
+ * forgot what it promised has no vote.
  */
 public final class Founding {
-    private final Deck deck;
-    private final String self;
-    private final List<String> seeds;
-    private final int rank;
-    private final LossTolerance losses;
-    private final boolean votes;
-    private final long startedAt;
+  private final Deck deck;
+  private final String self;
+  private final List<String> seeds;
+  private final int rank;
+  private final LossTolerance losses;
+  private final boolean votes;
+  private final long startedAt;
 
-    private final Map<String, Berth> blanks = new LinkedHashMap<>();
-    private long lastNews;
+  private final Map<String, Berth> blanks = new LinkedHashMap<>();
+  private long lastNews;
 
-    private long promised;
-    private long acceptedBallot;
-    private EpochRecord accepted;
+  private long promised;
+  private long acceptedBallot;
+  private EpochRecord accepted;
 
-    private long ballot;
-    private long ballotAt;
-    private boolean asking;
-    private EpochRecord value;
-    private final Map<String, Flag> promises = new HashMap<>();
-    private final Map<String, Boolean> accepts = new HashMap<>();
+  private long ballot;
+  private long ballotAt;
+  private boolean asking;
+  private EpochRecord value;
+  private final Map<String, Flag> promises = new HashMap<>();
+  private final Map<String, Boolean> accepts = new HashMap<>();
 
-    private EpochRecord decided;
+  private EpochRecord decided;
 
-    public Founding(Deck deck, String self, List<String> seeds, boolean firstLife,
-            LossTolerance losses) {
-        this.deck = deck;
-        this.losses = losses;
-        this.self = self;
-        this.seeds = seeds;
-        this.rank = seeds.indexOf(self);
-        this.votes = firstLife && rank >= 0;
-        this.startedAt = deck.now();
-        this.lastNews = startedAt;
-    }
+  public Founding(
+      Deck deck, String self, List<String> seeds, boolean firstLife, LossTolerance losses) {
+    this.deck = deck;
+    this.losses = losses;
+    this.self = self;
+    this.seeds = seeds;
+    this.rank = seeds.indexOf(self);
+    this.votes = firstLife && rank >= 0;
+    this.startedAt = deck.now();
+    this.lastNews = startedAt;
+  }
 
-    public EpochRecord decided() {
-        return decided;
-    }
+  public EpochRecord decided() {
+    return decided;
+  }
 
-    /** A blank disk of the first start has made itself known. */
-    public void blankDisk(Berth b) {
-        if (blanks.put(b.diskId(), b) == null) {
-            lastNews = deck.now();
-        }
+  /** A blank disk of the first start has made itself known. */
+  public void blankDisk(Berth b) {
+    if (blanks.put(b.diskId(), b) == null) {
+      lastNews = deck.now();
     }
+  }
 
-    public void tick() {
-        long now = deck.now();
-        if (!votes || decided != null || blanks.isEmpty()) {
-            return;
-        }
-        if (now - startedAt < 2_000_000L + rank * 2_000_000L || now - lastNews < 1_500_000) {
-            return;
-        }
-        if (ballot != 0 && now - ballotAt < 1_000_000L + deck.random(500_000)) {
-            return;
-        }
-        ballot = (Math.max(promised, ballot) / 8 + 1) * 8 + rank;
-        ballotAt = now;
-        asking = true;
-        promises.clear();
-        accepts.clear();
-        toSeeds(new Flag("fprep").with("ballot", ballot));
+  public void tick() {
+    long now = deck.now();
+    if (!votes || decided != null || blanks.isEmpty()) {
+      return;
     }
-
-    private void toSeeds(Flag f) {
-        for (String s : seeds) {
-            if (s.equals(self)) {
-                onMessage(self, f);
-            } else {
-                deck.send(s, f);
-            }
-        }
+    if (now - startedAt < 2_000_000L + rank * 2_000_000L || now - lastNews < 1_500_000) {
+      return;
     }
-
-    private void reply(String to, Flag f) {
-        if (to.equals(self)) {
-            onMessage(self, f);
-        } else {
-            deck.send(to, f);
-        }
+    if (ballot != 0 && now - ballotAt < 1_000_000L + deck.random(500_000)) {
+      return;
     }
+    ballot = (Math.max(promised, ballot) / 8 + 1) * 8 + rank;
+    ballotAt = now;
+    asking = true;
+    promises.clear();
+    accepts.clear();
+    toSeeds(new Flag("fprep").with("ballot", ballot));
+  }
 
-    public boolean onMessage(String from, Flag f) {
-        switch (f.kind()) {
-            case "fprep" -> {
-                if (votes && f.number("ballot") > promised) {
-                    promised = f.number("ballot");
-                    reply(from, new Flag("fprom").with("ballot", promised).with("at", acceptedBallot)
-                            .with("value", accepted == null ? null : accepted.toFlag()));
-                }
-            }
-            case "fprom" -> {
-                if (asking && f.number("ballot") == ballot) {
-                    promises.put(from, f);
-                    if (promises.size() >= majority()) {
-                        asking = false;
-                        value = chooseValue();
-                        toSeeds(new Flag("facc").with("ballot", ballot).with("value", value.toFlag()));
-                    }
-                }
-            }
-            case "facc" -> {
-                if (votes && f.number("ballot") >= promised) {
-                    promised = f.number("ballot");
-                    acceptedBallot = promised;
-                    accepted = EpochRecord.of(f.flag("value"));
-                    reply(from, new Flag("faccd").with("ballot", promised));
-                }
-            }
-            case "faccd" -> {
-                if (f.number("ballot") == ballot && value != null && decided == null) {
-                    accepts.put(from, true);
-                    if (accepts.size() >= majority()) {
-                        decided = value;
-                        deck.event("event=core_founded members=" + value.members().size() + " primary="
-                                + value.primary().name());
-                    }
-                }
-            }
-            default -> {
-                return false;
-            }
-        }
-        return true;
+  private void toSeeds(Flag f) {
+    for (String s : seeds) {
+      if (s.equals(self)) {
+        onMessage(self, f);
+      } else {
+        deck.send(s, f);
+      }
     }
+  }
 
-    private int majority() {
-        return seeds.size() / 2 + 1;
+  private void reply(String to, Flag f) {
+    if (to.equals(self)) {
+      onMessage(self, f);
+    } else {
+      deck.send(to, f);
     }
+  }
 
-    private EpochRecord chooseValue() {
-        Flag best = null;
-        for (Flag f : promises.values()) {
-            if (f.flag("value") != null && (best == null || f.number("at") > best.number("at"))) {
-                best = f;
-            }
+  public boolean onMessage(String from, Flag f) {
+    switch (f.kind()) {
+      case "fprep" -> {
+        if (votes && f.number("ballot") > promised) {
+          promised = f.number("ballot");
+          reply(
+              from,
+              new Flag("fprom")
+                  .with("ballot", promised)
+                  .with("at", acceptedBallot)
+                  .with("value", accepted == null ? null : accepted.toFlag()));
+        }
+      }
+      case "fprom" -> {
+        if (asking && f.number("ballot") == ballot) {
+          promises.put(from, f);
+          if (promises.size() >= majority()) {
+            asking = false;
+            value = chooseValue();
+            toSeeds(new Flag("facc").with("ballot", ballot).with("value", value.toFlag()));
+          }
+        }
+      }
+      case "facc" -> {
+        if (votes && f.number("ballot") >= promised) {
+          promised = f.number("ballot");
+          acceptedBallot = promised;
+          accepted = EpochRecord.of(f.flag("value"));
+          reply(from, new Flag("faccd").with("ballot", promised));
         }
-        if (best != null) {
-            return EpochRecord.of(best.flag("value"));
+      }
+      case "faccd" -> {
+        if (f.number("ballot") == ballot && value != null && decided == null) {
+          accepts.put(from, true);
+          if (accepts.size() >= majority()) {
+            decided = value;
+            deck.event(
+                "event=core_founded members="
+                    + value.members().size()
+                    + " primary="
+                    + value.primary().name());
+          }
         }
-        List<Berth> disks = new ArrayList<>(blanks.values());
-        disks.sort(Comparator.comparing(Berth::address));
-        List<Berth> members = losses.members(disks);
-        List<Berth> backups = losses.backups(members.get(0), members.subList(1, members.size()),
-                Comparator.comparing(members::indexOf), losses.copies());
-        String fleet = Long.toHexString(deck.random(Long.MAX_VALUE));
-        return new EpochRecord(fleet, 1, members.get(0), backups, members, members.size());
+      }
+      default -> {
+        return false;
+      }
+    }
+    return true;
+  }
+
+  private int majority() {
+    return seeds.size() / 2 + 1;
+  }
+
+  private EpochRecord chooseValue() {
+    Flag best = null;
+    for (Flag f : promises.values()) {
+      if (f.flag("value") != null && (best == null || f.number("at") > best.number("at"))) {
+        best = f;
+      }
+    }
+    if (best != null) {
+      return EpochRecord.of(best.flag("value"));
     }
+    List<Berth> disks = new ArrayList<>(blanks.values());
+    disks.sort(Comparator.comparing(Berth::address));
+    List<Berth> members = losses.members(disks);
+    List<Berth> backups =
+        losses.backups(
+            members.get(0),
+            members.subList(1, members.size()),
+            Comparator.comparing(members::indexOf),
+            losses.copies());
+    String fleet = Long.toHexString(deck.random(Long.MAX_VALUE));
+    return new EpochRecord(fleet, 1, members.get(0), backups, members, members.size());
+  }
 }
