--- a/src/main/java/org/otterpond/harbour/Helm.java
+++ b/src/main/java/org/otterpond/harbour/Helm.java
@@ -17,685 +17,812 @@
 import org.otterpond.signal.Flag;
 import org.otterpond.signal.SignalException;
 
-/** What the primary does for the nodes: leases and long polls, the worker table, configuration, operation keys. */
+/**
+ * What the primary does for the nodes: leases and long polls, the worker table, configuration,
+ * operation keys.
+ */
 final class Helm {
-    private static final long LEASE = 2_500_000;
-    private static final long POLL_HOLD = 700_000;
-    private static final long EARLY_KEPT = 1_500_000;
-    private static final long DRAIN_WAIT = 800_000;
-    /** So long after an epoch began, every node in touch has shown itself to the new primary. */
-    private static final long ALL_POLLED = 400_000;
-    private static final long FOLLOWED = 10_000;
-    /** An answer that tells of authority older than this is followed by another as soon as there is better to tell. */
-    private static final long DOUBTFUL = 500_000;
-    private static final long EMPTY_AT_FIRST = 1_000_000;
-    private static final long MEMBER_DEAD = 1_500_000;
-
-    private final Deck deck;
-    private final Watch watch;
-    private final Berth self;
-    private final Register register;
-    private final Chandlery chandlery;
-    private final Map<String, Lease> leases = new HashMap<>();
-    private final Map<String, Early> early = new HashMap<>();
-    private final Map<String, List<Consumer<Flag>>> claimsInWriting = new HashMap<>();
-    private final List<DrainWait> drains = new ArrayList<>();
-
-    /** The assignments as committed, which is what may be told; the hold's own are a moment ahead. */
-    private Assignments committed = new Assignments();
-    private byte[] packedAssignments;
-    private long packedAssignmentNumber = -1;
-    private final Placement placement;
-    private final Membership membership;
-    private final KeyKeeper keeper;
-
-    private PendingWrite writing;
-    /** The newest version, if it has been read here. */
-    private ReadConfiguration newest;
-    private final ChangeLog changes = new ChangeLog();
-    private boolean newsDue;
-    private long nodesVersion;
-    private FleetPlan plan;
-    private FleetPlan storePlan;
-    private long beganAt;
-    /** Names this node's unbroken time as primary; running totals of lent tokens belong to one term. */
-    private long term;
-    private long chandleryTicked;
-    private byte[] packedTable;
-    private long packedVersion;
-    private long packedAt;
-
-    private static final class Lease {
-        Flag poll;
-        boolean waiting;
-        long at;
-        long heldSince;
-        long tableVersion;
-        long nodesVersion = -1;
-        long firstSeen;
-        boolean doubtful;
-    }
-
-    private record Early(Flag poll, long at) {}
-
-    private static final class DrainWait {
-        long version;
-        long deadline;
-        boolean durable;
-        Consumer<Flag> reply;
-    }
-
-    private static final class PendingWrite {
-        String digest;
-        final List<Consumer<Flag>> replies = new ArrayList<>();
-    }
-
-    Helm(Deck deck, Watch watch, Berth self, Shore shore, HarbourTerms terms) {
-        this.deck = deck;
-        this.watch = watch;
-        this.self = self;
-        this.register = new Register(terms.heartbeatMicros());
-        this.chandlery = new Chandlery(terms.quota());
-        this.placement = new Placement(deck, terms.losses().machines(), terms.losses().zones(), this::assign);
-        this.membership = new Membership(deck, watch, terms.losses());
-        this.keeper = new KeyKeeper(new KeeperDeck(deck, shore, watch, register, this::assign), terms.hold());
-    }
-
-    /** @param held what is in force on this node */
-    void began(boolean continued, ReadConfiguration held) {
-        beganAt = deck.now();
-        if (!continued) {
-            term = watch.record().epoch();
-            chandlery.reset();
-        }
-        committed = watch.hold().assignments().copy();
-        packedAssignmentNumber = -1;
-        placement.began();
-        stock(held);
-        register.reset(deck.now());
-        watch.hold().workers().forEach(w -> register.take(Vessel.of(w, deck.now()), deck.now()));
-        keeper.began(committed.under(KeyRange.PREFIX), continued);
-        // Their polls were of the epoch before, and are answered no more.
-        Flag begun = new Flag("harbour").with("record", watch.record().toFlag());
-        leases.keySet().forEach(a -> deck.send(a, begun));
-        leases.clear();
-        drains.clear();
-        changes.clear();
-        packedVersion = -1;
-        nodesVersion++;
-        Map<String, Early> polls = new HashMap<>(early);
-        early.clear();
-        long now = deck.now();
-        // An older one may be of a process, or of a disk, that is no more.
-        polls.values().removeIf(p -> now - p.at() > EARLY_KEPT);
-        // A moment later the backups have said that they follow, which the answers must tell.
-        deck.after(FOLLOWED, () -> polls.forEach((from, p) -> {
-            if (!leases.containsKey(from)) {
-                onPoll(from, p.poll());
-            }
-        }));
-    }
-
-    void steppedDown() {
-        claimsInWriting.clear();
-        drains.clear();
-        writing = null;
-        EpochRecord known = watch.known();
-        for (Map.Entry<String, Lease> e : leases.entrySet()) {
-            if (e.getValue().waiting) {
-                deck.send(e.getKey(), new Flag("harbour").with("record", known.toFlag()));
-            }
-        }
-        leases.clear();
-    }
-
-    // ----------------------------------------------------------------- polls
-
-    void onPoll(String from, Flag poll) {
-        if (!watch.leading()) {
-            if (watch.known() != null && !watch.known().primary().diskId().equals(self.diskId())) {
-                deck.send(from, new Flag("harbour").with("record", watch.known().toFlag()));
-            } else {
-                // This node is about to lead, as far as anybody knows: the poll is answered once it does.
-                early.put(from, new Early(poll, deck.now()));
-            }
-            return;
-        }
-        long now = deck.now();
-        Lease l = leases.get(from);
-        if (l == null || (l.poll.number("life") != poll.number("life"))) {
-            l = new Lease();
-            l.firstSeen = now;
-            leases.put(from, l);
-            nodesVersion++;
-        }
-        l.poll = poll;
-        l.at = now;
-        l.heldSince = now;
-        l.waiting = true;
-        poll.flags("heat").forEach(keeper::reported);
-        if (poll.has("tell")) {
-            poll.flags("tell").forEach(f -> take(Vessel.of(f, now)));
-        }
-        if (poll.number("epoch") == watch.record().epoch()) {
-            l.tableVersion = poll.number("table");
-        } else {
-            // Most nodes hold what this one holds: then neither needs to tell the other.
-            l.tableVersion = poll.number("sum") == register.sum() ? register.version() : 0;
-        }
-        checkDrains();
-        answer(from, l, false);
-    }
-
-    private void newsDue() {
-        if (!newsDue) {
-            newsDue = true;
-            deck.after(5_000, () -> {
-                newsDue = false;
-                if (watch.leading()) {
-                    leases.forEach((a, l) -> answer(a, l, false));
-                }
-            });
-        }
-    }
-
-    private void answer(String to, Lease l, boolean now) {
-        if (!l.waiting) {
-            return;
-        }
-        long epoch = watch.record().epoch();
-        boolean config = watch.committedRevision() > l.poll.number("cfg");
-        boolean table = register.version() > l.tableVersion;
-        // Who else is there is news for which nobody need be woken: it goes with the next answer.
-        boolean nodes = l.nodesVersion != nodesVersion;
-        boolean fresh = l.poll.number("epoch") != epoch;
-        boolean assigned = committed.number() > l.poll.number("as");
-        if (!config && !table && !assigned && !fresh && l.nodesVersion >= 0 && !now) {
-            return;
-        }
-        long back = Math.max(0, l.heldSince - watch.followedSince());
-        l.doubtful = back > DOUBTFUL;
-        Flag news = new Flag("news").with("epoch", epoch).with("ver", register.version())
-                .with("pn", l.poll.number("pn")).with("rev", watch.committedRevision())
-                // How long before the poll came this node is known to have led.
-                .with("back", back);
-        if (fresh || nodes) {
-            if (plan == null || plan.version() != nodesVersion) {
-                plan = plan(false);
-                storePlan = plan(true);
-            }
-            FleetPlan own = l.poll.has("store") ? storePlan : plan;
-            news.with("record", watch.record().toFlag()).with("fleet", own.toFlag(l.poll.text("zone"), to));
-            l.nodesVersion = nodesVersion;
-        }
-        if (config) {
-            byte[] whole = watch.packedText();
-            // Nodes of earlier versions do not say that they can use them.
-            List<Flag> since = l.poll.truth("changes")
-                    ? changes.between(l.poll.number("cfg"), watch.committedRevision(), whole.length) : List.of();
-            news.with("cfg", watch.committedRevision());
-            if (since.isEmpty()) {
-                news.with("text", whole);
-            } else {
-                news.withFlags("changes", since);
-            }
-        }
-        if (table) {
-            if (l.tableVersion == 0) {
-                news.with("whole", packedTable());
-                news.with("want", l.poll.number("sum") != 0 ? true : null);
-            } else {
-                List<Flag> vessels = new ArrayList<>();
-                register.newerThan(l.tableVersion).forEach(v -> vessels.add(v.toFlag(deck.now())));
-                news.withFlags("table", vessels);
-            }
-        }
-        if (assigned) {
-            news.with("asno", committed.number());
-            if (l.poll.number("as") == 0) {
-                news.with("aswhole", packedAssignments());
-            } else {
-                news.withFlags("as", committed.newerThan(l.poll.number("as")));
-            }
-        }
-        l.waiting = false;
-        deck.send(to, news);
-    }
-
-    private byte[] packedAssignments() {
-        if (packedAssignmentNumber != committed.number()) {
-            packedAssignments = Bale.pack(committed.snapshot());
-            packedAssignmentNumber = committed.number();
-        }
-        return packedAssignments;
-    }
-
-    /** Writes one assignment; it is told once it is committed. False if this node does not lead. */
-    private boolean assign(Flag entry, Runnable done) {
-        return watch.propose(entry, () -> {
-            committed.apply(entry);
-            newsDue();
-            done.run();
-        });
-    }
-
-    /** The machines that store messages and hold a lease. */
-    private List<Placement.Store> stores() {
-        List<Placement.Store> out = new ArrayList<>();
-        leases.forEach((a, l) -> {
-            if (l.poll.has("store")) {
-                out.add(new Placement.Store(l.poll.text("store"), a, l.poll.text("name"), l.poll.text("zone"), l.at));
+  private static final long LEASE = 2_500_000;
+  private static final long POLL_HOLD = 700_000;
+  private static final long EARLY_KEPT = 1_500_000;
+  private static final long DRAIN_WAIT = 800_000;
+
+  /** So long after an epoch began, every node in touch has shown itself to the new primary. */
+  private static final long ALL_POLLED = 400_000;
+
+  private static final long FOLLOWED = 10_000;
+
+  /**
+   * An answer that tells of authority older than this is followed by another as soon as there is
+   * better to tell.
+   */
+  private static final long DOUBTFUL = 500_000;
+
+  private static final long EMPTY_AT_FIRST = 1_000_000;
+  private static final long MEMBER_DEAD = 1_500_000;
+
+  private final Deck deck;
+  private final Watch watch;
+  private final Berth self;
+  private final Register register;
+  private final Chandlery chandlery;
+  private final Map<String, Lease> leases = new HashMap<>();
+  private final Map<String, Early> early = new HashMap<>();
+  private final Map<String, List<Consumer<Flag>>> claimsInWriting = new HashMap<>();
+  private final List<DrainWait> drains = new ArrayList<>();
+
+  /** The assignments as committed, which is what may be told; the hold's own are a moment ahead. */
+  private Assignments committed = new Assignments();
+
+  private byte[] packedAssignments;
+  private long packedAssignmentNumber = -1;
+  private final Placement placement;
+  private final Membership membership;
+  private final KeyKeeper keeper;
+
+  private PendingWrite writing;
+
+  /** The newest version, if it has been read here. */
+  private ReadConfiguration newest;
+
+  private final ChangeLog changes = new ChangeLog();
+  private boolean newsDue;
+  private long nodesVersion;
+  private FleetPlan plan;
+  private FleetPlan storePlan;
+  private long beganAt;
+
+  /**
+   * Names this node's unbroken time as primary; running totals of lent tokens belong to one term.
+   */
+  private long term;
+
+  private long chandleryTicked;
+  private byte[] packedTable;
+  private long packedVersion;
+  private long packedAt;
+
+  private static final class Lease {
+    Flag poll;
+    boolean waiting;
+    long at;
+    long heldSince;
+    long tableVersion;
+    long nodesVersion = -1;
+    long firstSeen;
+    boolean doubtful;
+  }
+
+  private record Early(Flag poll, long at) {}
+
+  private static final class DrainWait {
+    long version;
+    long deadline;
+    boolean durable;
+    Consumer<Flag> reply;
+  }
+
+  private static final class PendingWrite {
+    String digest;
+    final List<Consumer<Flag>> replies = new ArrayList<>();
+  }
+
+  Helm(Deck deck, Watch watch, Berth self, Shore shore, HarbourTerms terms) {
+    this.deck = deck;
+    this.watch = watch;
+    this.self = self;
+    this.register = new Register(terms.heartbeatMicros());
+    this.chandlery = new Chandlery(terms.quota());
+    this.placement =
+        new Placement(deck, terms.losses().machines(), terms.losses().zones(), this::assign);
+    this.membership = new Membership(deck, watch, terms.losses());
+    this.keeper =
+        new KeyKeeper(new KeeperDeck(deck, shore, watch, register, this::assign), terms.hold());
+  }
+
+  /**
+   * @param held what is in force on this node
+   */
+  void began(boolean continued, ReadConfiguration held) {
+    beganAt = deck.now();
+    if (!continued) {
+      term = watch.record().epoch();
+      chandlery.reset();
+    }
+    committed = watch.hold().assignments().copy();
+    packedAssignmentNumber = -1;
+    placement.began();
+    stock(held);
+    register.reset(deck.now());
+    watch.hold().workers().forEach(w -> register.take(Vessel.of(w, deck.now()), deck.now()));
+    keeper.began(committed.under(KeyRange.PREFIX), continued);
+    // Their polls were of the epoch before, and are answered no more.
+    Flag begun = new Flag("harbour").with("record", watch.record().toFlag());
+    leases.keySet().forEach(a -> deck.send(a, begun));
+    leases.clear();
+    drains.clear();
+    changes.clear();
+    packedVersion = -1;
+    nodesVersion++;
+    Map<String, Early> polls = new HashMap<>(early);
+    early.clear();
+    long now = deck.now();
+    // An older one may be of a process, or of a disk, that is no more.
+    polls.values().removeIf(p -> now - p.at() > EARLY_KEPT);
+    // A moment later the backups have said that they follow, which the answers must tell.
+    deck.after(
+        FOLLOWED,
+        () ->
+            polls.forEach(
+                (from, p) -> {
+                  if (!leases.containsKey(from)) {
+                    onPoll(from, p.poll());
+                  }
+                }));
+  }
+
+  void steppedDown() {
+    claimsInWriting.clear();
+    drains.clear();
+    writing = null;
+    EpochRecord known = watch.known();
+    for (Map.Entry<String, Lease> e : leases.entrySet()) {
+      if (e.getValue().waiting) {
+        deck.send(e.getKey(), new Flag("harbour").with("record", known.toFlag()));
+      }
+    }
+    leases.clear();
+  }
+
+  // ----------------------------------------------------------------- polls
+
+  void onPoll(String from, Flag poll) {
+    if (!watch.leading()) {
+      if (watch.known() != null && !watch.known().primary().diskId().equals(self.diskId())) {
+        deck.send(from, new Flag("harbour").with("record", watch.known().toFlag()));
+      } else {
+        // This node is about to lead, as far as anybody knows: the poll is answered once it does.
+        early.put(from, new Early(poll, deck.now()));
+      }
+      return;
+    }
+    long now = deck.now();
+    Lease l = leases.get(from);
+    if (l == null || (l.poll.number("life") != poll.number("life"))) {
+      l = new Lease();
+      l.firstSeen = now;
+      leases.put(from, l);
+      nodesVersion++;
+    }
+    l.poll = poll;
+    l.at = now;
+    l.heldSince = now;
+    l.waiting = true;
+    poll.flags("heat").forEach(keeper::reported);
+    if (poll.has("tell")) {
+      poll.flags("tell").forEach(f -> take(Vessel.of(f, now)));
+    }
+    if (poll.number("epoch") == watch.record().epoch()) {
+      l.tableVersion = poll.number("table");
+    } else {
+      // Most nodes hold what this one holds: then neither needs to tell the other.
+      l.tableVersion = poll.number("sum") == register.sum() ? register.version() : 0;
+    }
+    checkDrains();
+    answer(from, l, false);
+  }
+
+  private void newsDue() {
+    if (!newsDue) {
+      newsDue = true;
+      deck.after(
+          5_000,
+          () -> {
+            newsDue = false;
+            if (watch.leading()) {
+              leases.forEach((a, l) -> answer(a, l, false));
             }
+          });
+    }
+  }
+
+  private void answer(String to, Lease l, boolean now) {
+    if (!l.waiting) {
+      return;
+    }
+    long epoch = watch.record().epoch();
+    boolean config = watch.committedRevision() > l.poll.number("cfg");
+    boolean table = register.version() > l.tableVersion;
+    // Who else is there is news for which nobody need be woken: it goes with the next answer.
+    boolean nodes = l.nodesVersion != nodesVersion;
+    boolean fresh = l.poll.number("epoch") != epoch;
+    boolean assigned = committed.number() > l.poll.number("as");
+    if (!config && !table && !assigned && !fresh && l.nodesVersion >= 0 && !now) {
+      return;
+    }
+    long back = Math.max(0, l.heldSince - watch.followedSince());
+    l.doubtful = back > DOUBTFUL;
+    Flag news =
+        new Flag("news")
+            .with("epoch", epoch)
+            .with("ver", register.version())
+            .with("pn", l.poll.number("pn"))
+            .with("rev", watch.committedRevision())
+            // How long before the poll came this node is known to have led.
+            .with("back", back);
+    if (fresh || nodes) {
+      if (plan == null || plan.version() != nodesVersion) {
+        plan = plan(false);
+        storePlan = plan(true);
+      }
+      FleetPlan own = l.poll.has("store") ? storePlan : plan;
+      news.with("record", watch.record().toFlag())
+          .with("fleet", own.toFlag(l.poll.text("zone"), to));
+      l.nodesVersion = nodesVersion;
+    }
+    if (config) {
+      byte[] whole = watch.packedText();
+      // Nodes of earlier versions do not say that they can use them.
+      List<Flag> since =
+          l.poll.truth("changes")
+              ? changes.between(l.poll.number("cfg"), watch.committedRevision(), whole.length)
+              : List.of();
+      news.with("cfg", watch.committedRevision());
+      if (since.isEmpty()) {
+        news.with("text", whole);
+      } else {
+        news.withFlags("changes", since);
+      }
+    }
+    if (table) {
+      if (l.tableVersion == 0) {
+        news.with("whole", packedTable());
+        news.with("want", l.poll.number("sum") != 0 ? true : null);
+      } else {
+        List<Flag> vessels = new ArrayList<>();
+        register.newerThan(l.tableVersion).forEach(v -> vessels.add(v.toFlag(deck.now())));
+        news.withFlags("table", vessels);
+      }
+    }
+    if (assigned) {
+      news.with("asno", committed.number());
+      if (l.poll.number("as") == 0) {
+        news.with("aswhole", packedAssignments());
+      } else {
+        news.withFlags("as", committed.newerThan(l.poll.number("as")));
+      }
+    }
+    l.waiting = false;
+    deck.send(to, news);
+  }
+
+  private byte[] packedAssignments() {
+    if (packedAssignmentNumber != committed.number()) {
+      packedAssignments = Bale.pack(committed.snapshot());
+      packedAssignmentNumber = committed.number();
+    }
+    return packedAssignments;
+  }
+
+  /** Writes one assignment; it is told once it is committed. False if this node does not lead. */
+  private boolean assign(Flag entry, Runnable done) {
+    return watch.propose(
+        entry,
+        () -> {
+          committed.apply(entry);
+          newsDue();
+          done.run();
         });
-        return out;
-    }
-
-    private FleetPlan plan(boolean stores) {
-        Map<String, Flag> polls = new HashMap<>();
-        leases.forEach((a, l) -> {
-            if (l.poll.has("store") == stores) {
-                polls.put(a, l.poll);
-            }
+  }
+
+  /** The machines that store messages and hold a lease. */
+  private List<Placement.Store> stores() {
+    List<Placement.Store> out = new ArrayList<>();
+    leases.forEach(
+        (a, l) -> {
+          if (l.poll.has("store")) {
+            out.add(
+                new Placement.Store(
+                    l.poll.text("store"), a, l.poll.text("name"), l.poll.text("zone"), l.at));
+          }
         });
-        return FleetPlan.of(nodesVersion, polls);
-    }
-
-    /** The whole table as it goes to every node that has none; warm-up times in it are a moment old at the most. */
-    private byte[] packedTable() {
-        long now = deck.now();
-        if (packedVersion != register.version() || now - packedAt > 1_000_000) {
-            List<Flag> vessels = new ArrayList<>();
-            register.newerThan(0).forEach(v -> vessels.add(v.toFlag(now)));
-            packedTable = Bale.pack(new Flag("table").withFlags("table", vessels));
-            packedVersion = register.version();
-            packedAt = now;
-        }
-        return packedTable;
-    }
-
-    // ------------------------------------------------------------------ time
-
-    void tick() {
-        if (!watch.leading()) {
-            return;
-        }
-        long now = deck.now();
-        Iterator<Map.Entry<String, Lease>> it = leases.entrySet().iterator();
-        while (it.hasNext()) {
-            Map.Entry<String, Lease> e = it.next();
-            Lease l = e.getValue();
-            boolean better = l.doubtful && now - watch.followedSince() < DOUBTFUL;
-            if (l.waiting && (better || now - l.heldSince > POLL_HOLD)) {
-                answer(e.getKey(), l, true);
-            }
-            if (now - l.at > LEASE) {
-                deck.event("event=lease_lapsed node=" + l.poll.text("name"));
-                it.remove();
-                nodesVersion++;
-            }
-        }
-        List<Vessel> lost = register.expire(now);
-        lost.forEach(v -> {
-            deck.event("event=worker_lost instance=" + v.id() + " service=" + v.service());
-            keep(v, () -> { });
+    return out;
+  }
+
+  private FleetPlan plan(boolean stores) {
+    Map<String, Flag> polls = new HashMap<>();
+    leases.forEach(
+        (a, l) -> {
+          if (l.poll.has("store") == stores) {
+            polls.put(a, l.poll);
+          }
         });
-        if (!lost.isEmpty()) {
-            newsDue();
-        }
-        checkDrains();
-        membership.tick(newcomers(now));
-        keeper.tick();
-        placement.tick(now, stores(), watch.hold().assignments());
-        if (now - chandleryTicked > 1_000_000) {
-            chandleryTicked = now;
-            chandlery.tick(now);
-        }
-    }
-
-    /** The machines with a disk that hold a lease and are no members of the core. */
-    private List<Membership.Newcomer> newcomers(long now) {
-        List<Membership.Newcomer> out = new ArrayList<>();
-        for (Lease l : leases.values()) {
-            String id = l.poll.text("disk");
-            if (id != null && !watch.record().hasMember(id) && now - l.at <= LEASE / 2) {
-                out.add(new Membership.Newcomer(new Berth(id, l.poll.text("addr"), l.poll.text("name"),
-                        l.poll.text("zone")), l.firstSeen));
-            }
-        }
-        return out;
+    return FleetPlan.of(nodesVersion, polls);
+  }
+
+  /**
+   * The whole table as it goes to every node that has none; warm-up times in it are a moment old at
+   * the most.
+   */
+  private byte[] packedTable() {
+    long now = deck.now();
+    if (packedVersion != register.version() || now - packedAt > 1_000_000) {
+      List<Flag> vessels = new ArrayList<>();
+      register.newerThan(0).forEach(v -> vessels.add(v.toFlag(now)));
+      packedTable = Bale.pack(new Flag("table").withFlags("table", vessels));
+      packedVersion = register.version();
+      packedAt = now;
+    }
+    return packedTable;
+  }
+
+  // ------------------------------------------------------------------ time
+
+  void tick() {
+    if (!watch.leading()) {
+      return;
+    }
+    long now = deck.now();
+    Iterator<Map.Entry<String, Lease>> it = leases.entrySet().iterator();
+    while (it.hasNext()) {
+      Map.Entry<String, Lease> e = it.next();
+      Lease l = e.getValue();
+      boolean better = l.doubtful && now - watch.followedSince() < DOUBTFUL;
+      if (l.waiting && (better || now - l.heldSince > POLL_HOLD)) {
+        answer(e.getKey(), l, true);
+      }
+      if (now - l.at > LEASE) {
+        deck.event("event=lease_lapsed node=" + l.poll.text("name"));
+        it.remove();
+        nodesVersion++;
+      }
     }
-
-    // ------------------------------------------------------------------- ops
-
-    /** Serves one asked operation; the reply may come later, or never if the duty is lost. */
-    void serve(Flag ask, Consumer<Flag> reply) {
-        if (!watch.leading()) {
-            // Mid-change the asker asks again by itself; elsewhere it learns whom to ask.
-            if (watch.known() != null && !watch.known().primary().diskId().equals(self.diskId())) {
-                reply.accept(new Flag("reply").with("moved", true).with("record", watch.known().toFlag()));
-            }
-            return;
-        }
-        switch (ask.text("op")) {
-            case "claim" -> claim(ask, reply);
-            case "free" -> free(ask, reply);
-            case "lend" -> {
-                List<Flag> lent = new ArrayList<>();
-                ask.flags("tenants").forEach(t -> lent.add(lend(ask, t)));
-                reply.accept(new Flag("reply").with("term", term).withFlags("lent", lent));
-            }
-            case "beat" -> beat(ask, reply);
-            case "beats" -> {
-                ask.flags("beats").forEach(f -> take(Vessel.of(f, deck.now())));
-                // Told again to whoever leads, unless it was this node.
-                watch.confirmLater(ok -> {
-                    if (ok) {
-                        reply.accept(new Flag("reply"));
-                    }
-                });
-            }
-            case "reconfigure" -> placement.reconfigure(ask, watch.hold().assignments(), committed, reply,
-                    proved(reply));
-            case "candidate-failed" -> placement.candidateFailed(ask, watch.hold().assignments(), proved(reply));
-            case "retire" -> placement.retire(ask.text("node"), stores(), watch.hold().assignments(), committed,
-                    reply, proved(reply));
-            case "retired" -> proved(reply).accept(Placement.retired(ask.text("node"), committed));
-            case "write" -> write(ask, reply);
-            case "read" -> watch.confirm(ok -> {
+    List<Vessel> lost = register.expire(now);
+    lost.forEach(
+        v -> {
+          deck.event("event=worker_lost instance=" + v.id() + " service=" + v.service());
+          keep(v, () -> {});
+        });
+    if (!lost.isEmpty()) {
+      newsDue();
+    }
+    checkDrains();
+    membership.tick(newcomers(now));
+    keeper.tick();
+    placement.tick(now, stores(), watch.hold().assignments());
+    if (now - chandleryTicked > 1_000_000) {
+      chandleryTicked = now;
+      chandlery.tick(now);
+    }
+  }
+
+  /** The machines with a disk that hold a lease and are no members of the core. */
+  private List<Membership.Newcomer> newcomers(long now) {
+    List<Membership.Newcomer> out = new ArrayList<>();
+    for (Lease l : leases.values()) {
+      String id = l.poll.text("disk");
+      if (id != null && !watch.record().hasMember(id) && now - l.at <= LEASE / 2) {
+        out.add(
+            new Membership.Newcomer(
+                new Berth(id, l.poll.text("addr"), l.poll.text("name"), l.poll.text("zone")),
+                l.firstSeen));
+      }
+    }
+    return out;
+  }
+
+  // ------------------------------------------------------------------- ops
+
+  /** Serves one asked operation; the reply may come later, or never if the duty is lost. */
+  void serve(Flag ask, Consumer<Flag> reply) {
+    if (!watch.leading()) {
+      // Mid-change the asker asks again by itself; elsewhere it learns whom to ask.
+      if (watch.known() != null && !watch.known().primary().diskId().equals(self.diskId())) {
+        reply.accept(new Flag("reply").with("moved", true).with("record", watch.known().toFlag()));
+      }
+      return;
+    }
+    switch (ask.text("op")) {
+      case "claim" -> claim(ask, reply);
+      case "free" -> free(ask, reply);
+      case "lend" -> {
+        List<Flag> lent = new ArrayList<>();
+        ask.flags("tenants").forEach(t -> lent.add(lend(ask, t)));
+        reply.accept(new Flag("reply").with("term", term).withFlags("lent", lent));
+      }
+      case "beat" -> beat(ask, reply);
+      case "beats" -> {
+        ask.flags("beats").forEach(f -> take(Vessel.of(f, deck.now())));
+        // Told again to whoever leads, unless it was this node.
+        watch.confirmLater(
+            ok -> {
+              if (ok) {
+                reply.accept(new Flag("reply"));
+              }
+            });
+      }
+      case "reconfigure" ->
+          placement.reconfigure(ask, watch.hold().assignments(), committed, reply, proved(reply));
+      case "candidate-failed" ->
+          placement.candidateFailed(ask, watch.hold().assignments(), proved(reply));
+      case "retire" ->
+          placement.retire(
+              ask.text("node"),
+              stores(),
+              watch.hold().assignments(),
+              committed,
+              reply,
+              proved(reply));
+      case "retired" -> proved(reply).accept(Placement.retired(ask.text("node"), committed));
+      case "write" -> write(ask, reply);
+      case "read" ->
+          watch.confirm(
+              ok -> {
                 if (ok) {
-                    reply.accept(new Flag("reply").with("rev", watch.committedRevision())
-                            .with("text", watch.packedText()));
+                  reply.accept(
+                      new Flag("reply")
+                          .with("rev", watch.committedRevision())
+                          .with("text", watch.packedText()));
                 }
-            });
-            case "status" -> watch.confirm(ok -> reply.accept(status(ok)));
-            default -> reply.accept(new Flag("reply").with("error", "unknown operation"));
-        }
-    }
-
-    /**
-     * For answers that rest on what this node holds, refusals among them: each is given once it is proved that this
-     * node led after the question came, and never if it did not. Who woke up with old state says nothing by it.
-     */
-    private Consumer<Flag> proved(Consumer<Flag> reply) {
-        return r -> watch.confirm(ok -> {
-            if (ok) {
+              });
+      case "status" -> watch.confirm(ok -> reply.accept(status(ok)));
+      default -> reply.accept(new Flag("reply").with("error", "unknown operation"));
+    }
+  }
+
+  /**
+   * For answers that rest on what this node holds, refusals among them: each is given once it is
+   * proved that this node led after the question came, and never if it did not. Who woke up with
+   * old state says nothing by it.
+   */
+  private Consumer<Flag> proved(Consumer<Flag> reply) {
+    return r ->
+        watch.confirm(
+            ok -> {
+              if (ok) {
                 reply.accept(r);
-            }
-        });
-    }
-
-    /** Lets a claim go that did not run; answered once that is durable, or there is nothing to let go. */
-    private void free(Flag ask, Consumer<Flag> reply) {
-        Claim c = watch.hold().claim(ask.text("key"));
-        if (c != null && c.token().equals(ask.text("token"))) {
-            watch.propose(new Flag("free").with("key", ask.text("key")).with("token", ask.text("token")),
-                    () -> reply.accept(new Flag("reply")));
-        } else {
-            proved(reply).accept(new Flag("reply"));
-        }
-    }
-
-    private void inForce(ReadConfiguration read) {
-        newest = read;
-        Configuration c = read.checked();
-        chandlery.configured(c, deck.now());
-        Set<String> divided = new HashSet<>();
-        c.services().values().forEach(s -> {
-            if (s.partitioned()) {
+              }
+            });
+  }
+
+  /**
+   * Lets a claim go that did not run; answered once that is durable, or there is nothing to let go.
+   */
+  private void free(Flag ask, Consumer<Flag> reply) {
+    Claim c = watch.hold().claim(ask.text("key"));
+    if (c != null && c.token().equals(ask.text("token"))) {
+      watch.propose(
+          new Flag("free").with("key", ask.text("key")).with("token", ask.text("token")),
+          () -> reply.accept(new Flag("reply")));
+    } else {
+      proved(reply).accept(new Flag("reply"));
+    }
+  }
+
+  private void inForce(ReadConfiguration read) {
+    newest = read;
+    Configuration c = read.checked();
+    chandlery.configured(c, deck.now());
+    Set<String> divided = new HashSet<>();
+    c.services()
+        .values()
+        .forEach(
+            s -> {
+              if (s.partitioned()) {
                 divided.add(s.name());
+              }
+            });
+    keeper.configured(divided);
+  }
+
+  /** The version, if it is the newest one and this node has read it. */
+  ReadConfiguration read(long revision) {
+    return newest != null && newest.revision() == revision && watch.leading() ? newest : null;
+  }
+
+  /**
+   * Finds the limits in force for the quotas, as a new primary. What this node has read before is
+   * not read again.
+   */
+  private void stock(ReadConfiguration held) {
+    long revision = watch.committedRevision();
+    if (newest != null && newest.revision() == revision) {
+      inForce(newest);
+    } else if (held.revision() == revision) {
+      if (held.checked() != null) {
+        inForce(held);
+      }
+    } else if (watch.committedText() != null) {
+      ConfigurationReading r =
+          new ConfigurationReading(
+              new Flag("news").with("cfg", revision).with("text", watch.packedText()),
+              ReadConfiguration.NONE);
+      Runnable then =
+          () -> {
+            if (r.result() == null) {
+              deck.event(
+                  "event=configuration_unreadable revision=" + revision + " cause=" + r.cause());
+            } else if (watch.leading() && watch.committedRevision() == revision) {
+              inForce(r.result());
             }
+          };
+      readApart(r.isLong(), r, then);
+    }
+  }
+
+  private void readApart(boolean isLong, Runnable reading, Runnable then) {
+    if (isLong) {
+      deck.apart(reading, then);
+    } else {
+      reading.run();
+      then.run();
+    }
+  }
+
+  /** One tenant's part of an ask for tokens. */
+  private Flag lend(Flag ask, Flag tenant) {
+    Flag out = new Flag("lent").with("tenant", tenant.text("tenant"));
+    long now = deck.now();
+    if (!watch.mayGive()) {
+      return out.with("count", 0).with("again", Math.max(50_000, watch.givingFrom() - now));
+    }
+    boolean known = ask.number("term") == term;
+    Chandlery.Lent l =
+        chandlery.lend(
+            tenant.text("tenant"),
+            ask.number("life"),
+            known ? tenant.number("used") : 0,
+            known ? tenant.number("returned") : 0,
+            (int) tenant.number("need"),
+            (int) tenant.number("spare"),
+            now);
+    // A new owner's buckets are empty for a while: what they lack then says nothing about the
+    // tenant.
+    boolean settled = now - watch.givingFrom() > EMPTY_AT_FIRST;
+    return out.with("count", l.count())
+        .with("again", l.againMicros())
+        .with("over", l.over() && settled ? true : null);
+  }
+
+  private void claim(Flag ask, Consumer<Flag> reply) {
+    String key = ask.text("key");
+    String token = ask.text("token");
+    Claim c = watch.hold().claim(key);
+    List<Consumer<Flag>> pending = claimsInWriting.get(token);
+    if (pending != null) {
+      pending.add(reply);
+      return;
+    }
+    if (c != null) {
+      proved(reply)
+          .accept(
+              c.token().equals(token)
+                  ? new Flag("reply").with("granted", true)
+                  : new Flag("reply").with("holder", c.holder()).with("run", c.token()));
+      return;
+    }
+    Flag lent = ask.has("tenant") ? lend(ask, ask.flag("tenant")) : null;
+    if (lent != null && lent.number("count") == 0) {
+      reply.accept(new Flag("reply").with("term", term).with("lent", lent));
+      return;
+    }
+    claimsInWriting.put(token, new ArrayList<>(List.of(reply)));
+    boolean taken =
+        watch.propose(
+            new Flag("claim")
+                .with("key", key)
+                .with("token", token)
+                .with("holder", ask.text("holder")),
+            () -> {
+              List<Consumer<Flag>> replies = claimsInWriting.remove(token);
+              Claim now = watch.hold().claim(key);
+              // While an epoch was changing, two claims of one key may both have waited: the last
+              // written
+              // holds it.
+              boolean mine = now != null && now.token().equals(token);
+              Flag r =
+                  mine
+                      ? new Flag("reply")
+                          .with("granted", true)
+                          .with("term", term)
+                          .with("lent", lent)
+                      : new Flag("reply")
+                          .with("holder", now == null ? null : now.holder())
+                          .with("run", now == null ? null : now.token());
+              if (replies != null) {
+                replies.forEach(x -> x.accept(r));
+              }
+            });
+    if (!taken) {
+      claimsInWriting.remove(token);
+    }
+  }
+
+  private void beat(Flag ask, Consumer<Flag> reply) {
+    Vessel v = Vessel.of(ask.flag("vessel"), deck.now());
+    take(v);
+    if (v.state() == VesselState.IN_SERVICE) {
+      proved(reply).accept(new Flag("reply"));
+      return;
+    }
+    DrainWait d = new DrainWait();
+    d.deadline = deck.now() + DRAIN_WAIT;
+    d.reply = reply;
+    d.version = register.version();
+    drains.add(d);
+    // Written again though it may be known: the acknowledgement waits for a commit of its own.
+    keep(
+        register.get(v.id()),
+        () -> {
+          d.durable = true;
+          checkDrains();
         });
-        keeper.configured(divided);
-    }
-
-    /** The version, if it is the newest one and this node has read it. */
-    ReadConfiguration read(long revision) {
-        return newest != null && newest.revision() == revision && watch.leading() ? newest : null;
-    }
-
-    /** Finds the limits in force for the quotas, as a new primary. What this node has read before is not read again. */
-    private void stock(ReadConfiguration held) {
-        long revision = watch.committedRevision();
-        if (newest != null && newest.revision() == revision) {
-            inForce(newest);
-        } else if (held.revision() == revision) {
-            if (held.checked() != null) {
-                inForce(held);
-            }
-        } else if (watch.committedText() != null) {
-            ConfigurationReading r = new ConfigurationReading(new Flag("news").with("cfg", revision).with("text",
-                    watch.packedText()), ReadConfiguration.NONE);
-            Runnable then = () -> {
-                if (r.result() == null) {
-                    deck.event("event=configuration_unreadable revision=" + revision + " cause=" + r.cause());
-                } else if (watch.leading() && watch.committedRevision() == revision) {
-                    inForce(r.result());
-                }
-            };
-            readApart(r.isLong(), r, then);
-        }
-    }
-
-    private void readApart(boolean isLong, Runnable reading, Runnable then) {
-        if (isLong) {
-            deck.apart(reading, then);
-        } else {
-            reading.run();
-            then.run();
-        }
-    }
-
-    /** One tenant's part of an ask for tokens. */
-    private Flag lend(Flag ask, Flag tenant) {
-        Flag out = new Flag("lent").with("tenant", tenant.text("tenant"));
-        long now = deck.now();
-        if (!watch.mayGive()) {
-            return out.with("count", 0).with("again", Math.max(50_000, watch.givingFrom() - now));
-        }
-        boolean known = ask.number("term") == term;
-        Chandlery.Lent l = chandlery.lend(tenant.text("tenant"), ask.number("life"),
-                known ? tenant.number("used") : 0, known ? tenant.number("returned") : 0,
-                (int) tenant.number("need"), (int) tenant.number("spare"), now);
-        // A new owner's buckets are empty for a while: what they lack then says nothing about the tenant.
-        boolean settled = now - watch.givingFrom() > EMPTY_AT_FIRST;
-        return out.with("count", l.count()).with("again", l.againMicros())
-                .with("over", l.over() && settled ? true : null);
-    }
-
-    private void claim(Flag ask, Consumer<Flag> reply) {
-        String key = ask.text("key");
-        String token = ask.text("token");
-        Claim c = watch.hold().claim(key);
-        List<Consumer<Flag>> pending = claimsInWriting.get(token);
-        if (pending != null) {
-            pending.add(reply);
-            return;
-        }
-        if (c != null) {
-            proved(reply).accept(c.token().equals(token) ? new Flag("reply").with("granted", true)
-                    : new Flag("reply").with("holder", c.holder()).with("run", c.token()));
-            return;
-        }
-        Flag lent = ask.has("tenant") ? lend(ask, ask.flag("tenant")) : null;
-        if (lent != null && lent.number("count") == 0) {
-            reply.accept(new Flag("reply").with("term", term).with("lent", lent));
-            return;
-        }
-        claimsInWriting.put(token, new ArrayList<>(List.of(reply)));
-        boolean taken = watch.propose(new Flag("claim").with("key", key).with("token", token)
-                .with("holder", ask.text("holder")), () -> {
-                    List<Consumer<Flag>> replies = claimsInWriting.remove(token);
-                    Claim now = watch.hold().claim(key);
-                    // While an epoch was changing, two claims of one key may both have waited: the last written
-                    // holds it.
-                    boolean mine = now != null && now.token().equals(token);
-                    Flag r = mine ? new Flag("reply").with("granted", true).with("term", term).with("lent", lent)
-                            : new Flag("reply").with("holder", now == null ? null : now.holder())
-                                    .with("run", now == null ? null : now.token());
-                    if (replies != null) {
-                        replies.forEach(x -> x.accept(r));
-                    }
-                });
-        if (!taken) {
-            claimsInWriting.remove(token);
-        }
-    }
-
-    private void beat(Flag ask, Consumer<Flag> reply) {
-        Vessel v = Vessel.of(ask.flag("vessel"), deck.now());
-        take(v);
-        if (v.state() == VesselState.IN_SERVICE) {
-            proved(reply).accept(new Flag("reply"));
-            return;
-        }
-        DrainWait d = new DrainWait();
-        d.deadline = deck.now() + DRAIN_WAIT;
-        d.reply = reply;
-        d.version = register.version();
-        drains.add(d);
-        // Written again though it may be known: the acknowledgement waits for a commit of its own.
-        keep(register.get(v.id()), () -> {
-            d.durable = true;
-            checkDrains();
-        });
-    }
-
-    /** Takes what is told of a worker; a change is delivered, and written so that it outlives every process. */
-    private void take(Vessel v) {
-        if (register.take(v, deck.now())) {
-            newsDue();
-            keep(register.get(v.id()), () -> { });
-        }
-    }
-
-    private void keep(Vessel v, Runnable written) {
-        watch.propose(v.toFlag("worker", deck.now()), written);
-    }
-
-    /** Acknowledges leavers once every node that holds a lease has them as such. */
-    private void checkDrains() {
-        if (drains.isEmpty()) {
-            return;
-        }
-        long confirmed = Long.MAX_VALUE;
-        for (Lease l : leases.values()) {
-            confirmed = Math.min(confirmed, l.tableVersion);
-        }
-        Iterator<DrainWait> it = drains.iterator();
-        List<DrainWait> ready = new ArrayList<>();
-        while (it.hasNext()) {
-            DrainWait d = it.next();
-            boolean everywhere = d.version <= confirmed && deck.now() - beganAt > ALL_POLLED;
-            if (d.durable && (everywhere || deck.now() > d.deadline)) {
-                it.remove();
-                ready.add(d);
-            }
-        }
-        ready.forEach(d -> d.reply.accept(new Flag("reply")));
-    }
-
-    // --------------------------------------------------------- configuration
-
-    private static Flag verdict(int status, String cause) {
-        return new Flag("reply").with("status", status).with("cause", cause);
-    }
-
-    private void write(Flag ask, Consumer<Flag> reply) {
-        String text;
-        try {
-            text = Bale.unpackText(ask.bytes("text"));
-        } catch (SignalException e) {
-            reply.accept(verdict(400, "body: unreadable on its way"));
-            return;
-        }
-        long base = ask.number("base");
-        String kind = ask.text("kind");
-        String digest = Hashing.sha256().hashString(kind + "\n" + base + "\n" + text, StandardCharsets.UTF_8)
-                .toString();
-        if (writing != null) {
-            if (writing.digest.equals(digest)) {
-                writing.replies.add(reply);
-            }
-            // Another change is being written: say nothing, the asker asks again within its time.
-            return;
-        }
-        PendingWrite w = new PendingWrite();
-        w.digest = digest;
-        w.replies.add(reply);
-        writing = w;
-        OrderReading r = new OrderReading(kind, text, newest != null && newest.revision() == watch.committedRevision()
-                ? newest : null, watch.committedText());
-        readApart(r.isLong(), r, () -> {
-            if (writing == w) {
-                judge(w, r, base, kind.equals("modify") ? text : null);
-            }
+  }
+
+  /**
+   * Takes what is told of a worker; a change is delivered, and written so that it outlives every
+   * process.
+   */
+  private void take(Vessel v) {
+    if (register.take(v, deck.now())) {
+      newsDue();
+      keep(register.get(v.id()), () -> {});
+    }
+  }
+
+  private void keep(Vessel v, Runnable written) {
+    watch.propose(v.toFlag("worker", deck.now()), written);
+  }
+
+  /** Acknowledges leavers once every node that holds a lease has them as such. */
+  private void checkDrains() {
+    if (drains.isEmpty()) {
+      return;
+    }
+    long confirmed = Long.MAX_VALUE;
+    for (Lease l : leases.values()) {
+      confirmed = Math.min(confirmed, l.tableVersion);
+    }
+    Iterator<DrainWait> it = drains.iterator();
+    List<DrainWait> ready = new ArrayList<>();
+    while (it.hasNext()) {
+      DrainWait d = it.next();
+      boolean everywhere = d.version <= confirmed && deck.now() - beganAt > ALL_POLLED;
+      if (d.durable && (everywhere || deck.now() > d.deadline)) {
+        it.remove();
+        ready.add(d);
+      }
+    }
+    ready.forEach(d -> d.reply.accept(new Flag("reply")));
+  }
+
+  // --------------------------------------------------------- configuration
+
+  private static Flag verdict(int status, String cause) {
+    return new Flag("reply").with("status", status).with("cause", cause);
+  }
+
+  private void write(Flag ask, Consumer<Flag> reply) {
+    String text;
+    try {
+      text = Bale.unpackText(ask.bytes("text"));
+    } catch (SignalException e) {
+      reply.accept(verdict(400, "body: unreadable on its way"));
+      return;
+    }
+    long base = ask.number("base");
+    String kind = ask.text("kind");
+    String digest =
+        Hashing.sha256()
+            .hashString(kind + "\n" + base + "\n" + text, StandardCharsets.UTF_8)
+            .toString();
+    if (writing != null) {
+      if (writing.digest.equals(digest)) {
+        writing.replies.add(reply);
+      }
+      // Another change is being written: say nothing, the asker asks again within its time.
+      return;
+    }
+    PendingWrite w = new PendingWrite();
+    w.digest = digest;
+    w.replies.add(reply);
+    writing = w;
+    OrderReading r =
+        new OrderReading(
+            kind,
+            text,
+            newest != null && newest.revision() == watch.committedRevision() ? newest : null,
+            watch.committedText());
+    readApart(
+        r.isLong(),
+        r,
+        () -> {
+          if (writing == w) {
+            judge(w, r, base, kind.equals("modify") ? text : null);
+          }
         });
-    }
-
-    /** Takes the order that was read, or says why not. */
-    private void judge(PendingWrite w, OrderReading r, long base, String change) {
-        long current = watch.committedRevision();
-        Flag verdict = null;
-        if (r.unreadable() != null) {
-            verdict = verdict(400, r.unreadable());
-        } else if (watch.hold().taken().holds(r.revision(), w.digest)) {
-            verdict = verdict(200, null);
-        } else if (base != current) {
-            verdict = verdict(412, "X-Otterpond-Base-Revision: the current revision is " + current);
-        } else if (r.revision() <= current) {
-            verdict = verdict(400, "revision: not above the current " + current);
-        } else if (r.invalid() != null) {
-            // A modification is judged together with what it changes.
-            verdict = verdict(400, r.invalid());
-        }
-        if (verdict != null) {
-            writing = null;
-            Flag given = verdict;
-            w.replies.forEach(reply -> proved(reply).accept(given));
-            return;
-        }
-        boolean taken = watch.propose(PackedText.put(r.packed(), new Flag("config").with("rev", r.revision()))
-                .with("digest", w.digest), () -> {
-                    writing = null;
-                    if (change != null) {
-                        changes.add(base, r.revision(), Bale.pack(change));
-                    } else {
-                        changes.clear();
-                    }
-                    inForce(r.result());
-                    deck.event("event=configuration_taken revision=" + r.revision() + " base=" + base);
-                    w.replies.forEach(reply -> reply.accept(verdict(200, null)));
-                    newsDue();
-                });
-        if (!taken) {
-            writing = null;
-        }
-    }
-
-    private Flag status(boolean confirmed) {
-        EpochRecord r = watch.record();
-        List<Flag> nodes = new ArrayList<>();
-        long now = deck.now();
-        List<Flag> storing = new ArrayList<>();
-        leases.forEach((a, l) -> {
-            Flag row = new Flag("node").with("name", l.poll.text("name")).with("addr", a)
-                    .with("zone", l.poll.text("zone")).with("cfg", l.poll.number("cfg"))
-                    .with("silent_ms", Math.max(0, now - l.at) / 1000);
-            Flag figures = l.poll.flag("figures");
-            if (figures != null) {
-                figures.fields().forEach(row::with);
-            }
-            (l.poll.has("store") ? storing : nodes).add(row);
+  }
+
+  /** Takes the order that was read, or says why not. */
+  private void judge(PendingWrite w, OrderReading r, long base, String change) {
+    long current = watch.committedRevision();
+    Flag verdict = null;
+    if (r.unreadable() != null) {
+      verdict = verdict(400, r.unreadable());
+    } else if (watch.hold().taken().holds(r.revision(), w.digest)) {
+      verdict = verdict(200, null);
+    } else if (base != current) {
+      verdict = verdict(412, "X-Otterpond-Base-Revision: the current revision is " + current);
+    } else if (r.revision() <= current) {
+      verdict = verdict(400, "revision: not above the current " + current);
+    } else if (r.invalid() != null) {
+      // A modification is judged together with what it changes.
+      verdict = verdict(400, r.invalid());
+    }
+    if (verdict != null) {
+      writing = null;
+      Flag given = verdict;
+      w.replies.forEach(reply -> proved(reply).accept(given));
+      return;
+    }
+    boolean taken =
+        watch.propose(
+            PackedText.put(r.packed(), new Flag("config").with("rev", r.revision()))
+                .with("digest", w.digest),
+            () -> {
+              writing = null;
+              if (change != null) {
+                changes.add(base, r.revision(), Bale.pack(change));
+              } else {
+                changes.clear();
+              }
+              inForce(r.result());
+              deck.event("event=configuration_taken revision=" + r.revision() + " base=" + base);
+              w.replies.forEach(reply -> reply.accept(verdict(200, null)));
+              newsDue();
+            });
+    if (!taken) {
+      writing = null;
+    }
+  }
+
+  private Flag status(boolean confirmed) {
+    EpochRecord r = watch.record();
+    List<Flag> nodes = new ArrayList<>();
+    long now = deck.now();
+    List<Flag> storing = new ArrayList<>();
+    leases.forEach(
+        (a, l) -> {
+          Flag row =
+              new Flag("node")
+                  .with("name", l.poll.text("name"))
+                  .with("addr", a)
+                  .with("zone", l.poll.text("zone"))
+                  .with("cfg", l.poll.number("cfg"))
+                  .with("silent_ms", Math.max(0, now - l.at) / 1000);
+          Flag figures = l.poll.flag("figures");
+          if (figures != null) {
+            figures.fields().forEach(row::with);
+          }
+          (l.poll.has("store") ? storing : nodes).add(row);
         });
-        List<Object> silent = new ArrayList<>();
-        r.members().stream().filter(m -> !m.diskId().equals(self.diskId()) && watch.silent(m, MEMBER_DEAD))
-                .forEach(m -> silent.add(m.name()));
-        List<Flag> vessels = new ArrayList<>();
-        register.newerThan(0).forEach(v -> vessels.add(v.toFlag(now)));
-        return new Flag("reply").with("confirmed", confirmed).with("record", r.toFlag()).with("silent", silent)
-                .with("rev", watch.committedRevision()).with("claims", watch.hold().claimCount())
-                .withFlags("nodes", nodes).withFlags("stores", storing).withFlags("workers", vessels)
-                .withFlags("quotas", chandlery.status(now)).withFlags("keys", keeper.status())
-                .with("partitions", Placement.status(committed));
-    }
+    List<Object> silent = new ArrayList<>();
+    r.members().stream()
+        .filter(m -> !m.diskId().equals(self.diskId()) && watch.silent(m, MEMBER_DEAD))
+        .forEach(m -> silent.add(m.name()));
+    List<Flag> vessels = new ArrayList<>();
+    register.newerThan(0).forEach(v -> vessels.add(v.toFlag(now)));
+    return new Flag("reply")
+        .with("confirmed", confirmed)
+        .with("record", r.toFlag())
+        .with("silent", silent)
+        .with("rev", watch.committedRevision())
+        .with("claims", watch.hold().claimCount())
+        .withFlags("nodes", nodes)
+        .withFlags("stores", storing)
+        .withFlags("workers", vessels)
+        .withFlags("quotas", chandlery.status(now))
+        .withFlags("keys", keeper.status())
+        .with("partitions", Placement.status(committed));
+  }
 }
--- a/src/main/java/org/otterpond/harbour/Placement.java
+++ b/src/main/java/org/otterpond/harbour/Placement.java
@@ -13,343 +13,398 @@
 import org.otterpond.signal.Flag;
 
 /**
- * The configuration manager of the message partitions, on the core's primary: founds them once, says which machines
- * each should have, and installs the configurations that members propose, the first on each version.
+ * The configuration manager of the message partitions, on the core's primary: founds them once,
+ * says which machines each should have, and installs the configurations that members propose, the
+ * first on each version.
  */
 final class Placement {
-    static final String PARTITION = "partition:";
-    static final String RETIRING = "retiring:";
-    private static final long SETTLED = 1_500_000;
-    private static final long SILENT = 2_100_000;
-    private static final long STEP = 200_000;
-    private static final long SHUNNED = 8_000_000;
-    private static final int CHANGES_A_STEP = 24;
-    private static final int MOVES_AT_ONCE = 4;
-    private static final int LEAST_PARTITIONS = 32;
-    private static final int MOST_PARTITIONS = 1024;
-    private static final int PARTITIONS_A_STORE = 3;
+  static final String PARTITION = "partition:";
+  static final String RETIRING = "retiring:";
+  private static final long SETTLED = 1_500_000;
+  private static final long SILENT = 2_100_000;
+  private static final long STEP = 200_000;
+  private static final long SHUNNED = 8_000_000;
+  private static final int CHANGES_A_STEP = 24;
+  private static final int MOVES_AT_ONCE = 4;
+  private static final int LEAST_PARTITIONS = 32;
+  private static final int MOST_PARTITIONS = 1024;
+  private static final int PARTITIONS_A_STORE = 3;
 
-    private final Deck deck;
-    private final int copies;
-    /** Over how many zones the copies are spread: one more than may be lost, two at least. */
-    private final int zones;
-    private final Writer writer;
-    private long steppedAt;
-    private long changedAt;
-    private Set<String> seen = Set.of();
-    private final Map<String, Long> shunnedUntil = new HashMap<>();
+  private final Deck deck;
+  private final int copies;
 
-    /** A machine that stores messages. */
-    record Store(String disk, String address, String name, String zone, long heard) {
-        String member() {
-            return GroupView.member(disk, address);
-        }
-    }
+  /** Over how many zones the copies are spread: one more than may be lost, two at least. */
+  private final int zones;
 
-    /** Writes an assignment to the core's group. */
-    interface Writer {
-        boolean assign(Flag entry, Runnable done);
-    }
+  private final Writer writer;
+  private long steppedAt;
+  private long changedAt;
+  private Set<String> seen = Set.of();
+  private final Map<String, Long> shunnedUntil = new HashMap<>();
 
-    Placement(Deck deck, int faults, int zoneFaults, Writer writer) {
-        this.deck = deck;
-        this.zones = Math.max(2, zoneFaults + 1);
-        this.copies = faults + 1;
-        this.writer = writer;
+  /** A machine that stores messages. */
+  record Store(String disk, String address, String name, String zone, long heard) {
+    String member() {
+      return GroupView.member(disk, address);
     }
+  }
 
-    void began() {
-        changedAt = deck.now();
-        steppedAt = deck.now();
-        seen = Set.of();
-    }
+  /** Writes an assignment to the core's group. */
+  interface Writer {
+    boolean assign(Flag entry, Runnable done);
+  }
 
-    private static Flag entryOf(GroupView v) {
-        return v.toFlag(Assignments.KIND).with("key", PARTITION + v.group());
-    }
+  Placement(Deck deck, int faults, int zoneFaults, Writer writer) {
+    this.deck = deck;
+    this.zones = Math.max(2, zoneFaults + 1);
+    this.copies = faults + 1;
+    this.writer = writer;
+  }
 
-    // --------------------------------------------------------------- placing
+  void began() {
+    changedAt = deck.now();
+    steppedAt = deck.now();
+    seen = Set.of();
+  }
 
-    void tick(long now, List<Store> stores, Assignments held) {
-        if (now - steppedAt < STEP) {
-            return;
-        }
-        steppedAt = now;
-        List<Store> alive = stores.stream().filter(s -> now - s.heard() < SILENT).toList();
-        Set<String> names = new HashSet<>();
-        alive.forEach(s -> names.add(s.member()));
-        if (!names.equals(seen)) {
-            seen = names;
-            changedAt = now;
-        }
-        shunnedUntil.values().removeIf(t -> t <= now);
-        List<Flag> partitions = held.under(PARTITION);
-        if (partitions.isEmpty()) {
-            if (!alive.isEmpty() && now - changedAt > SETTLED) {
-                found(alive);
-            }
-            return;
-        }
-        repair(partitions, usable(alive, held), now);
-    }
+  private static Flag entryOf(GroupView v) {
+    return v.toFlag(Assignments.KIND).with("key", PARTITION + v.group());
+  }
 
-    private static List<Store> usable(List<Store> alive, Assignments held) {
-        return alive.stream().filter(s -> held.get(RETIRING + s.name()) == null
-                || !s.disk().equals(held.get(RETIRING + s.name()).text("disk"))).toList();
-    }
+  // --------------------------------------------------------------- placing
 
-    private void found(List<Store> stores) {
-        int wanted = stores.size() * PARTITIONS_A_STORE;
-        int count = LEAST_PARTITIONS;
-        while (count < wanted && count < MOST_PARTITIONS) {
-            count *= 2;
-        }
-        Map<String, Integer> load = new HashMap<>();
-        Map<String, Integer> led = new HashMap<>();
-        for (int p = 0; p < count; p++) {
-            List<Store> members = choose(new ArrayList<>(), stores, load);
-            members.sort(Comparator.comparingInt(s -> led.getOrDefault(s.member(), 0)));
-            List<String> m = new ArrayList<>(members.stream().map(Store::member).toList());
-            m.forEach(x -> load.merge(x, 1, Integer::sum));
-            led.merge(m.get(0), 1, Integer::sum);
-            GroupView v = new GroupView(p, 1, m.get(0), m.subList(1, m.size()), m);
-            writer.assign(entryOf(v).with("of", count), () -> { });
-        }
-        deck.event("event=partitions_founded count=" + count + " stores=" + stores.size() + " copies=" + copies);
+  void tick(long now, List<Store> stores, Assignments held) {
+    if (now - steppedAt < STEP) {
+      return;
     }
-
-    /**
-     * Fills up to the number of copies. As many zones as are wanted come first; what is left goes where copies are already,
-     * as bytes between zones cost more. Of several machines the least loaded.
-     */
-    private List<Store> choose(List<Store> kept, List<Store> from, Map<String, Integer> load) {
-        List<Store> out = new ArrayList<>(kept);
-        while (out.size() < Math.min(copies, from.size())) {
-            Set<String> zones = new HashSet<>();
-            out.forEach(s -> zones.add(s.zone()));
-            Store best = null;
-            for (Store s : from) {
-                if (out.contains(s)) {
-                    continue;
-                }
-                if (best == null || rank(s, zones, load) < rank(best, zones, load)) {
-                    best = s;
-                }
-            }
-            if (best == null) {
-                break;
-            }
-            out.add(best);
-        }
-        return out;
+    steppedAt = now;
+    List<Store> alive = stores.stream().filter(s -> now - s.heard() < SILENT).toList();
+    Set<String> names = new HashSet<>();
+    alive.forEach(s -> names.add(s.member()));
+    if (!names.equals(seen)) {
+      seen = names;
+      changedAt = now;
     }
+    shunnedUntil.values().removeIf(t -> t <= now);
+    List<Flag> partitions = held.under(PARTITION);
+    if (partitions.isEmpty()) {
+      if (!alive.isEmpty() && now - changedAt > SETTLED) {
+        found(alive);
+      }
+      return;
+    }
+    repair(partitions, usable(alive, held), now);
+  }
+
+  private static List<Store> usable(List<Store> alive, Assignments held) {
+    return alive.stream()
+        .filter(
+            s ->
+                held.get(RETIRING + s.name()) == null
+                    || !s.disk().equals(held.get(RETIRING + s.name()).text("disk")))
+        .toList();
+  }
 
-    private int rank(Store s, Set<String> used, Map<String, Integer> load) {
-        boolean another = used.size() < zones;
-        return (used.contains(s.zone()) == another ? 1 << 20 : 0) + load.getOrDefault(s.member(), 0);
+  private void found(List<Store> stores) {
+    int wanted = stores.size() * PARTITIONS_A_STORE;
+    int count = LEAST_PARTITIONS;
+    while (count < wanted && count < MOST_PARTITIONS) {
+      count *= 2;
+    }
+    Map<String, Integer> load = new HashMap<>();
+    Map<String, Integer> led = new HashMap<>();
+    for (int p = 0; p < count; p++) {
+      List<Store> members = choose(new ArrayList<>(), stores, load);
+      members.sort(Comparator.comparingInt(s -> led.getOrDefault(s.member(), 0)));
+      List<String> m = new ArrayList<>(members.stream().map(Store::member).toList());
+      m.forEach(x -> load.merge(x, 1, Integer::sum));
+      led.merge(m.get(0), 1, Integer::sum);
+      GroupView v = new GroupView(p, 1, m.get(0), m.subList(1, m.size()), m);
+      writer.assign(entryOf(v).with("of", count), () -> {});
     }
+    deck.event(
+        "event=partitions_founded count="
+            + count
+            + " stores="
+            + stores.size()
+            + " copies="
+            + copies);
+  }
 
-    /** Wants others in place of machines that are gone, shunned or to be emptied; then evens out, a few at a time. */
-    private void repair(List<Flag> partitions, List<Store> stores, long now) {
-        if (stores.isEmpty()) {
-            return;
+  /**
+   * Fills up to the number of copies. As many zones as are wanted come first; what is left goes
+   * where copies are already, as bytes between zones cost more. Of several machines the least
+   * loaded.
+   */
+  private List<Store> choose(List<Store> kept, List<Store> from, Map<String, Integer> load) {
+    List<Store> out = new ArrayList<>(kept);
+    while (out.size() < Math.min(copies, from.size())) {
+      Set<String> zones = new HashSet<>();
+      out.forEach(s -> zones.add(s.zone()));
+      Store best = null;
+      for (Store s : from) {
+        if (out.contains(s)) {
+          continue;
         }
-        Map<String, Store> byMember = new HashMap<>();
-        stores.forEach(s -> byMember.put(s.member(), s));
-        Map<String, Integer> load = new HashMap<>();
-        stores.forEach(s -> load.put(s.member(), 0));
-        List<GroupView> views = new ArrayList<>();
-        for (Flag f : partitions) {
-            GroupView v = GroupView.of(f);
-            views.add(v);
-            v.wanted().forEach(m -> load.merge(m, 1, Integer::sum));
-        }
-        int changes = 0;
-        int moving = 0;
-        int of = views.size();
-        for (GroupView v : views) {
-            List<Store> kept = new ArrayList<>();
-            for (String m : v.wanted()) {
-                if (byMember.containsKey(m) && !shunned(v.group(), m)) {
-                    kept.add(byMember.get(m));
-                }
-            }
-            if (kept.size() == v.wanted().size() && kept.size() >= Math.min(copies, stores.size())) {
-                moving += Set.copyOf(v.members()).equals(Set.copyOf(v.wanted())) ? 0 : 1;
-                continue;
-            }
-            moving++;
-            if (changes >= CHANGES_A_STEP) {
-                continue;
-            }
-            List<Store> from = stores.stream().filter(s -> !shunned(v.group(), s.member())).toList();
-            List<String> wanted = choose(kept, from, load).stream().map(Store::member).toList();
-            // A machine that is silent for a while keeps its place where there is none to take it.
-            if (wanted.isEmpty() || Set.copyOf(wanted).equals(Set.copyOf(v.wanted()))) {
-                continue;
-            }
-            wanted.stream().filter(m -> !v.wanted().contains(m)).forEach(m -> load.merge(m, 1, Integer::sum));
-            changes++;
-            writer.assign(entryOf(v.wanting(wanted)).with("of", of), () -> { });
-        }
-        if (moving == 0 && now - changedAt > SETTLED) {
-            even(views, stores, load);
+        if (best == null || rank(s, zones, load) < rank(best, zones, load)) {
+          best = s;
         }
+      }
+      if (best == null) {
+        break;
+      }
+      out.add(best);
     }
+    return out;
+  }
 
-    private boolean shunned(int group, String member) {
-        return shunnedUntil.containsKey(group + " " + member);
-    }
+  private int rank(Store s, Set<String> used, Map<String, Integer> load) {
+    boolean another = used.size() < zones;
+    return (used.contains(s.zone()) == another ? 1 << 20 : 0) + load.getOrDefault(s.member(), 0);
+  }
 
-    /** Machines that were added take their part. */
-    private void even(List<GroupView> views, List<Store> stores, Map<String, Integer> load) {
-        int moves = 0;
-        Map<String, Store> byMember = new HashMap<>();
-        stores.forEach(s -> byMember.put(s.member(), s));
-        for (GroupView v : views) {
-            if (moves >= MOVES_AT_ONCE) {
-                return;
-            }
-            Store most = null;
-            for (String m : v.wanted()) {
-                Store s = byMember.get(m);
-                // The primary moves last: the move of a secondary is not noticed by anybody.
-                if (s != null && !m.equals(v.primary()) && (most == null || load.get(m) > load.get(most.member()))) {
-                    most = s;
-                }
-            }
-            if (most == null) {
-                continue;
-            }
-            // Within its zone, so that the copies stay spread as they are.
-            Store least = null;
-            for (Store s : stores) {
-                if (!v.wanted().contains(s.member()) && s.zone().equals(most.zone())
-                        && (least == null || load.get(s.member()) < load.get(least.member()))) {
-                    least = s;
-                }
-            }
-            if (least == null || load.get(most.member()) - load.get(least.member()) < 3) {
-                continue;
-            }
-            List<String> wanted = new ArrayList<>(v.wanted());
-            wanted.remove(most.member());
-            wanted.add(least.member());
-            load.merge(most.member(), -1, Integer::sum);
-            load.merge(least.member(), 1, Integer::sum);
-            moves++;
-            writer.assign(entryOf(v.wanting(wanted)).with("of", views.size()), () -> { });
+  /**
+   * Wants others in place of machines that are gone, shunned or to be emptied; then evens out, a
+   * few at a time.
+   */
+  private void repair(List<Flag> partitions, List<Store> stores, long now) {
+    if (stores.isEmpty()) {
+      return;
+    }
+    Map<String, Store> byMember = new HashMap<>();
+    stores.forEach(s -> byMember.put(s.member(), s));
+    Map<String, Integer> load = new HashMap<>();
+    stores.forEach(s -> load.put(s.member(), 0));
+    List<GroupView> views = new ArrayList<>();
+    for (Flag f : partitions) {
+      GroupView v = GroupView.of(f);
+      views.add(v);
+      v.wanted().forEach(m -> load.merge(m, 1, Integer::sum));
+    }
+    int changes = 0;
+    int moving = 0;
+    int of = views.size();
+    for (GroupView v : views) {
+      List<Store> kept = new ArrayList<>();
+      for (String m : v.wanted()) {
+        if (byMember.containsKey(m) && !shunned(v.group(), m)) {
+          kept.add(byMember.get(m));
         }
+      }
+      if (kept.size() == v.wanted().size() && kept.size() >= Math.min(copies, stores.size())) {
+        moving += Set.copyOf(v.members()).equals(Set.copyOf(v.wanted())) ? 0 : 1;
+        continue;
+      }
+      moving++;
+      if (changes >= CHANGES_A_STEP) {
+        continue;
+      }
+      List<Store> from = stores.stream().filter(s -> !shunned(v.group(), s.member())).toList();
+      List<String> wanted = choose(kept, from, load).stream().map(Store::member).toList();
+      // A machine that is silent for a while keeps its place where there is none to take it.
+      if (wanted.isEmpty() || Set.copyOf(wanted).equals(Set.copyOf(v.wanted()))) {
+        continue;
+      }
+      wanted.stream()
+          .filter(m -> !v.wanted().contains(m))
+          .forEach(m -> load.merge(m, 1, Integer::sum));
+      changes++;
+      writer.assign(entryOf(v.wanting(wanted)).with("of", of), () -> {});
     }
+    if (moving == 0 && now - changedAt > SETTLED) {
+      even(views, stores, load);
+    }
+  }
 
-    // ------------------------------------------------------------- proposals
+  private boolean shunned(int group, String member) {
+    return shunnedUntil.containsKey(group + " " + member);
+  }
 
-    /**
-     * Installs a proposed configuration if it builds on the version in force; else tells the one in force.
-     *
-     * @param proved for an answer that rests on what is held, and is no commit
-     */
-    void reconfigure(Flag ask, Assignments held, Assignments committed, Consumer<Flag> reply,
-            Consumer<Flag> proved) {
-        GroupView proposed = GroupView.of(ask.flag("view"));
-        String key = PARTITION + proposed.group();
-        Flag now = held.get(key);
-        if (now == null) {
-            proved.accept(new Flag("reply"));
-            return;
-        }
-        GroupView current = GroupView.of(now);
-        if (proposed.version() != current.version() + 1) {
-            Flag told = committed.get(key);
-            // What is not committed yet is nobody's to know; the proposer asks again.
-            if (told != null && told.number("no") == now.number("no")) {
-                proved.accept(new Flag("reply").with("view", GroupView.of(told).toFlag("view")));
-            }
-            return;
+  /** Machines that were added take their part. */
+  private void even(List<GroupView> views, List<Store> stores, Map<String, Integer> load) {
+    int moves = 0;
+    Map<String, Store> byMember = new HashMap<>();
+    stores.forEach(s -> byMember.put(s.member(), s));
+    for (GroupView v : views) {
+      if (moves >= MOVES_AT_ONCE) {
+        return;
+      }
+      Store most = null;
+      for (String m : v.wanted()) {
+        Store s = byMember.get(m);
+        // The primary moves last: the move of a secondary is not noticed by anybody.
+        if (s != null
+            && !m.equals(v.primary())
+            && (most == null || load.get(m) > load.get(most.member()))) {
+          most = s;
         }
-        long time = deck.now();
-        for (String m : current.members()) {
-            if (!proposed.has(m) && current.wanted().contains(m)) {
-                // Suspected by its own group: others take its place here for a while.
-                shunnedUntil.put(current.group() + " " + m, time + SHUNNED);
-            }
+      }
+      if (most == null) {
+        continue;
+      }
+      // Within its zone, so that the copies stay spread as they are.
+      Store least = null;
+      for (Store s : stores) {
+        if (!v.wanted().contains(s.member())
+            && s.zone().equals(most.zone())
+            && (least == null || load.get(s.member()) < load.get(least.member()))) {
+          least = s;
         }
-        GroupView next = new GroupView(proposed.group(), proposed.version(), proposed.primary(),
-                proposed.secondaries(), current.wanted());
-        steppedAt = Math.min(steppedAt, time - STEP + 10_000);
-        writer.assign(entryOf(next).with("of", now.number("of")), () -> {
-            deck.event("event=group_configured group=" + next.group() + " version=" + next.version() + " primary="
-                    + next.primary() + " secondaries=" + next.secondaries().size());
-            reply.accept(new Flag("reply").with("installed", true).with("view", next.toFlag("view")));
-        });
+      }
+      if (least == null || load.get(most.member()) - load.get(least.member()) < 3) {
+        continue;
+      }
+      List<String> wanted = new ArrayList<>(v.wanted());
+      wanted.remove(most.member());
+      wanted.add(least.member());
+      load.merge(most.member(), -1, Integer::sum);
+      load.merge(least.member(), 1, Integer::sum);
+      moves++;
+      writer.assign(entryOf(v.wanting(wanted)).with("of", views.size()), () -> {});
     }
+  }
 
-    /** A primary could not bring a wanted machine up to date: another is wanted in its place. */
-    void candidateFailed(Flag ask, Assignments held, Consumer<Flag> reply) {
-        Flag now = held.get(PARTITION + ask.number("group"));
-        if (now != null && !GroupView.of(now).has(ask.text("member"))) {
-            shunnedUntil.put(ask.number("group") + " " + ask.text("member"), deck.now() + SHUNNED);
-        }
-        reply.accept(new Flag("reply"));
+  // ------------------------------------------------------------- proposals
+
+  /**
+   * Installs a proposed configuration if it builds on the version in force; else tells the one in
+   * force.
+   *
+   * @param proved for an answer that rests on what is held, and is no commit
+   */
+  void reconfigure(
+      Flag ask,
+      Assignments held,
+      Assignments committed,
+      Consumer<Flag> reply,
+      Consumer<Flag> proved) {
+    GroupView proposed = GroupView.of(ask.flag("view"));
+    String key = PARTITION + proposed.group();
+    Flag now = held.get(key);
+    if (now == null) {
+      proved.accept(new Flag("reply"));
+      return;
+    }
+    GroupView current = GroupView.of(now);
+    if (proposed.version() != current.version() + 1) {
+      Flag told = committed.get(key);
+      // What is not committed yet is nobody's to know; the proposer asks again.
+      if (told != null && told.number("no") == now.number("no")) {
+        proved.accept(new Flag("reply").with("view", GroupView.of(told).toFlag("view")));
+      }
+      return;
     }
+    long time = deck.now();
+    for (String m : current.members()) {
+      if (!proposed.has(m) && current.wanted().contains(m)) {
+        // Suspected by its own group: others take its place here for a while.
+        shunnedUntil.put(current.group() + " " + m, time + SHUNNED);
+      }
+    }
+    GroupView next =
+        new GroupView(
+            proposed.group(),
+            proposed.version(),
+            proposed.primary(),
+            proposed.secondaries(),
+            current.wanted());
+    steppedAt = Math.min(steppedAt, time - STEP + 10_000);
+    writer.assign(
+        entryOf(next).with("of", now.number("of")),
+        () -> {
+          deck.event(
+              "event=group_configured group="
+                  + next.group()
+                  + " version="
+                  + next.version()
+                  + " primary="
+                  + next.primary()
+                  + " secondaries="
+                  + next.secondaries().size());
+          reply.accept(new Flag("reply").with("installed", true).with("view", next.toFlag("view")));
+        });
+  }
 
-    // -------------------------------------------------------------- retiring
+  /** A primary could not bring a wanted machine up to date: another is wanted in its place. */
+  void candidateFailed(Flag ask, Assignments held, Consumer<Flag> reply) {
+    Flag now = held.get(PARTITION + ask.number("group"));
+    if (now != null && !GroupView.of(now).has(ask.text("member"))) {
+      shunnedUntil.put(ask.number("group") + " " + ask.text("member"), deck.now() + SHUNNED);
+    }
+    reply.accept(new Flag("reply"));
+  }
 
-    void retire(String node, List<Store> stores, Assignments held, Assignments committed, Consumer<Flag> reply,
-            Consumer<Flag> proved) {
-        Flag begun = held.get(RETIRING + node);
-        Store store = stores.stream().filter(s -> s.name().equals(node)).findFirst().orElse(null);
-        if (begun != null && (store == null || store.disk().equals(begun.text("disk")))) {
-            if (committed.get(RETIRING + node) != null) {
-                proved.accept(new Flag("reply").with("status", 200));
-            }
-            // Else it is being written, and the asker asks again.
-            return;
-        }
-        if (store == null) {
-            proved.accept(new Flag("reply").with("status", 404));
-            return;
-        }
-        long left = usable(stores, held).stream().filter(s -> !s.name().equals(node)).count();
-        if (left < copies) {
-            proved.accept(new Flag("reply").with("status", 409));
-            return;
-        }
-        writer.assign(new Flag(Assignments.KIND).with("key", RETIRING + node).with("disk", store.disk())
-                .with("member", store.member()), () -> {
-            deck.event("event=retire_begun node=" + node);
-            reply.accept(new Flag("reply").with("status", 200));
-        });
+  // -------------------------------------------------------------- retiring
+
+  void retire(
+      String node,
+      List<Store> stores,
+      Assignments held,
+      Assignments committed,
+      Consumer<Flag> reply,
+      Consumer<Flag> proved) {
+    Flag begun = held.get(RETIRING + node);
+    Store store = stores.stream().filter(s -> s.name().equals(node)).findFirst().orElse(null);
+    if (begun != null && (store == null || store.disk().equals(begun.text("disk")))) {
+      if (committed.get(RETIRING + node) != null) {
+        proved.accept(new Flag("reply").with("status", 200));
+      }
+      // Else it is being written, and the asker asks again.
+      return;
+    }
+    if (store == null) {
+      proved.accept(new Flag("reply").with("status", 404));
+      return;
+    }
+    long left = usable(stores, held).stream().filter(s -> !s.name().equals(node)).count();
+    if (left < copies) {
+      proved.accept(new Flag("reply").with("status", 409));
+      return;
     }
+    writer.assign(
+        new Flag(Assignments.KIND)
+            .with("key", RETIRING + node)
+            .with("disk", store.disk())
+            .with("member", store.member()),
+        () -> {
+          deck.event("event=retire_begun node=" + node);
+          reply.accept(new Flag("reply").with("status", 200));
+        });
+  }
 
-    /** Done only when no partition has a copy there nor wants one, and each has all the copies it should. */
-    static Flag retired(String node, Assignments committed) {
-        Flag r = committed.get(RETIRING + node);
-        if (r == null) {
-            return new Flag("reply").with("status", 404);
-        }
-        boolean done = true;
-        for (Flag f : committed.under(PARTITION)) {
-            GroupView v = GroupView.of(f);
-            boolean involved = v.has(r.text("member")) || v.wanted().contains(r.text("member"));
-            done &= !involved;
-        }
-        return new Flag("reply").with("status", 200).with("done", done);
+  /**
+   * Done only when no partition has a copy there nor wants one, and each has all the copies it
+   * should.
+   */
+  static Flag retired(String node, Assignments committed) {
+    Flag r = committed.get(RETIRING + node);
+    if (r == null) {
+      return new Flag("reply").with("status", 404);
     }
+    boolean done = true;
+    for (Flag f : committed.under(PARTITION)) {
+      GroupView v = GroupView.of(f);
+      boolean involved = v.has(r.text("member")) || v.wanted().contains(r.text("member"));
+      done &= !involved;
+    }
+    return new Flag("reply").with("status", 200).with("done", done);
+  }
 
-    /** For the operators: how many partitions each machine has, and how many lack copies. */
-    static Flag status(Assignments committed) {
-        Map<String, Integer> load = new TreeMap<>();
-        int lacking = 0;
-        List<Flag> partitions = committed.under(PARTITION);
-        for (Flag f : partitions) {
-            GroupView v = GroupView.of(f);
-            v.members().forEach(m -> load.merge(GroupView.addressOf(m), 1, Integer::sum));
-            lacking += v.members().size() < v.wanted().size() ? 1 : 0;
-        }
-        List<Flag> rows = new ArrayList<>();
-        load.forEach((a, n) -> rows.add(new Flag("row").with("addr", a).with("partitions", n)));
-        return new Flag("partitions").with("count", partitions.size()).with("lacking", lacking)
-                .withFlags("stores", rows);
+  /** For the operators: how many partitions each machine has, and how many lack copies. */
+  static Flag status(Assignments committed) {
+    Map<String, Integer> load = new TreeMap<>();
+    int lacking = 0;
+    List<Flag> partitions = committed.under(PARTITION);
+    for (Flag f : partitions) {
+      GroupView v = GroupView.of(f);
+      v.members().forEach(m -> load.merge(GroupView.addressOf(m), 1, Integer::sum));
+      lacking += v.members().size() < v.wanted().size() ? 1 : 0;
     }
+    List<Flag> rows = new ArrayList<>();
+    load.forEach((a, n) -> rows.add(new Flag("row").with("addr", a).with("partitions", n)));
+    return new Flag("partitions")
+        .with("count", partitions.size())
+        .with("lacking", lacking)
+        .withFlags("stores", rows);
+  }
 }
--- a/src/main/java/org/otterpond/harbour/WatchListener.java
+++ b/src/main/java/org/otterpond/harbour/WatchListener.java
@@ -2,11 +2,14 @@
 
 /** Told when this node's part in the core changes. */
 public interface WatchListener {
-    /** An epoch led by this node began; continued if it led the one before and nobody else can have led between. */
-    void began(EpochRecord record, boolean continued);
+  /**
+   * An epoch led by this node began; continued if it led the one before and nobody else can have
+   * led between.
+   */
+  void began(EpochRecord record, boolean continued);
 
-    void steppedDown();
+  void steppedDown();
 
-    /** A newer epoch is known, whoever leads it. */
-    void learnt(EpochRecord record);
+  /** A newer epoch is known, whoever leads it. */
+  void learnt(EpochRecord record);
 }
--- a/src/main/java/org/otterpond/keel/HarbourOffice.java
+++ b/src/main/java/org/otterpond/keel/HarbourOffice.java
@@ -23,238 +23,318 @@
 
 /** The control point: workers' beats, the operator's calls, status and metrics. */
 final class HarbourOffice implements CallHandler {
-    private static final String BEAT = "/-/Instances.Heartbeat/";
-    private static final String LEAVE = "/-/Instances.Deregister/";
-    private static final String RETIRE = "/-/Retire.Begin/";
-    private static final String RETIRED = "/-/Retire.Read/";
-    private static final long ASK = 850_000;
-    private static final long BIG_ASK = 2_500_000;
-    private static final int BIG_TEXT = 64 * 1024;
-    private static final long RESEND = 250_000;
-    private static final long BIG_RESEND = 1_200_000;
-    private static final Limits LIMITS = new Limits(32 * 1024, 16L << 20, 5_000_000, 20_000_000);
+  private static final String BEAT = "/-/Instances.Heartbeat/";
+  private static final String LEAVE = "/-/Instances.Deregister/";
+  private static final String RETIRE = "/-/Retire.Begin/";
+  private static final String RETIRED = "/-/Retire.Read/";
+  private static final long ASK = 850_000;
+  private static final long BIG_ASK = 2_500_000;
+  private static final int BIG_TEXT = 64 * 1024;
+  private static final long RESEND = 250_000;
+  private static final long BIG_RESEND = 1_200_000;
+  private static final Limits LIMITS = new Limits(32 * 1024, 16L << 20, 5_000_000, 20_000_000);
 
-    private final HarbourNode node;
-    private final MetricsPage metrics;
-    /** All nodes of a deployment listen at the same ports. */
-    private final String controlPort;
+  private final HarbourNode node;
+  private final MetricsPage metrics;
 
-    HarbourOffice(HarbourNode node, MetricsPage metrics, String controlPoint) {
-        this.node = node;
-        this.controlPort = controlPoint.substring(controlPoint.lastIndexOf(':'));
-        this.metrics = metrics;
-    }
+  /** All nodes of a deployment listen at the same ports. */
+  private final String controlPort;
 
-    @Override
-    public Limits limits() {
-        return LIMITS;
-    }
+  HarbourOffice(HarbourNode node, MetricsPage metrics, String controlPoint) {
+    this.node = node;
+    this.controlPort = controlPoint.substring(controlPoint.lastIndexOf(':'));
+    this.metrics = metrics;
+  }
 
-    @Override
-    public void handle(Call call) {
-        Missive r = call.request();
-        String path = r.path();
-        String asked = r.method() + " " + path;
-        try {
-            if (r.method().equals("POST") && path.startsWith(BEAT)) {
-                beat(call, path.substring(BEAT.length()));
-            } else if (r.method().equals("POST") && path.startsWith(LEAVE)) {
-                leave(call, path.substring(LEAVE.length()));
-            } else if (asked.equals("POST /-/Configuration.Replace")) {
-                write(call, "replace");
-            } else if (asked.equals("POST /-/Configuration.Modify")) {
-                write(call, "modify");
-            } else if (asked.equals("GET /-/Configuration.Read")) {
-                read(call);
-            } else if (r.method().equals("POST") && path.startsWith(RETIRE)) {
-                retire(call, path.substring(RETIRE.length()));
-            } else if (r.method().equals("GET") && path.startsWith(RETIRED)) {
-                retired(call, path.substring(RETIRED.length()));
-            } else if (asked.equals("GET /-/status")) {
-                status(call);
-            } else if (asked.equals("GET /-/metrics")) {
-                call.answer(metrics.page());
-            } else {
-                call.answer(Replies.problem(404, "no such call"));
-            }
-        } catch (ChartException e) {
-            call.answer(Replies.problem(400, e.getMessage()));
-        }
-    }
+  @Override
+  public Limits limits() {
+    return LIMITS;
+  }
 
-    private static String bodyOf(Call call) {
-        return new String(call.request().body(), StandardCharsets.UTF_8);
+  @Override
+  public void handle(Call call) {
+    Missive r = call.request();
+    String path = r.path();
+    String asked = r.method() + " " + path;
+    try {
+      if (r.method().equals("POST") && path.startsWith(BEAT)) {
+        beat(call, path.substring(BEAT.length()));
+      } else if (r.method().equals("POST") && path.startsWith(LEAVE)) {
+        leave(call, path.substring(LEAVE.length()));
+      } else if (asked.equals("POST /-/Configuration.Replace")) {
+        write(call, "replace");
+      } else if (asked.equals("POST /-/Configuration.Modify")) {
+        write(call, "modify");
+      } else if (asked.equals("GET /-/Configuration.Read")) {
+        read(call);
+      } else if (r.method().equals("POST") && path.startsWith(RETIRE)) {
+        retire(call, path.substring(RETIRE.length()));
+      } else if (r.method().equals("GET") && path.startsWith(RETIRED)) {
+        retired(call, path.substring(RETIRED.length()));
+      } else if (asked.equals("GET /-/status")) {
+        status(call);
+      } else if (asked.equals("GET /-/metrics")) {
+        call.answer(metrics.page());
+      } else {
+        call.answer(Replies.problem(404, "no such call"));
+      }
+    } catch (ChartException e) {
+      call.answer(Replies.problem(400, e.getMessage()));
     }
+  }
+
+  private static String bodyOf(Call call) {
+    return new String(call.request().body(), StandardCharsets.UTF_8);
+  }
 
-    // --------------------------------------------------------------- workers
+  // --------------------------------------------------------------- workers
 
-    private void beat(Call call, String id) throws ChartException {
-        Fields f = Fields.of(Fields.parse(bodyOf(call)), "");
-        VesselState state = switch (f.text("state")) {
-            case "in_service" -> VesselState.IN_SERVICE;
-            case "draining" -> VesselState.DRAINING;
-            default -> throw new ChartException("state: in_service or draining is wanted");
+  private void beat(Call call, String id) throws ChartException {
+    Fields f = Fields.of(Fields.parse(bodyOf(call)), "");
+    VesselState state =
+        switch (f.text("state")) {
+          case "in_service" -> VesselState.IN_SERVICE;
+          case "draining" -> VesselState.DRAINING;
+          default -> throw new ChartException("state: in_service or draining is wanted");
         };
-        Vessel v = new Vessel(id, f.text("target_service"), f.text("address"), f.text("zone", "-"),
-                f.text("revision", "-"), (int) f.whole("capacity_slots", 1, 1 << 20, 1), state,
-                f.whole("call_sequence", 0, Long.MAX_VALUE, 0),
-                Quay.now() + 1000 * f.whole("warmup_left_ms", 0, 86_400_000, 0));
-        acknowledge(call, v);
-    }
+    Vessel v =
+        new Vessel(
+            id,
+            f.text("target_service"),
+            f.text("address"),
+            f.text("zone", "-"),
+            f.text("revision", "-"),
+            (int) f.whole("capacity_slots", 1, 1 << 20, 1),
+            state,
+            f.whole("call_sequence", 0, Long.MAX_VALUE, 0),
+            Quay.now() + 1000 * f.whole("warmup_left_ms", 0, 86_400_000, 0));
+    acknowledge(call, v);
+  }
 
-    private void leave(Call call, String id) {
-        Vessel old = node.vessel(id);
-        Vessel v = old != null ? old.in(VesselState.GONE)
-                : new Vessel(id, "", "", "-", "-", 1, VesselState.GONE, 0, 0);
-        acknowledge(call, v);
-    }
+  private void leave(Call call, String id) {
+    Vessel old = node.vessel(id);
+    Vessel v =
+        old != null
+            ? old.in(VesselState.GONE)
+            : new Vessel(id, "", "", "-", "-", 1, VesselState.GONE, 0, 0);
+    acknowledge(call, v);
+  }
 
-    private void acknowledge(Call call, Vessel v) {
-        node.beat(v, ok -> call.answer(ok ? Replies.json(200, acknowledgement(v))
-                : Replies.unavailable("the primary did not confirm it", 0.1)));
-    }
+  private void acknowledge(Call call, Vessel v) {
+    node.beat(
+        v,
+        ok ->
+            call.answer(
+                ok
+                    ? Replies.json(200, acknowledgement(v))
+                    : Replies.unavailable("the primary did not confirm it", 0.1)));
+  }
 
-    private String controlPointOf(String internalAddress) {
-        return internalAddress.substring(0, internalAddress.lastIndexOf(':')) + controlPort;
-    }
+  private String controlPointOf(String internalAddress) {
+    return internalAddress.substring(0, internalAddress.lastIndexOf(':')) + controlPort;
+  }
 
-    private String acknowledgement(Vessel v) {
-        String beacon = v.state() == VesselState.IN_SERVICE ? node.beacon(v.zone(), v.id()) : null;
-        if (beacon == null) {
-            return "{}";
-        }
-        JsonObject o = new JsonObject();
-        o.addProperty("heartbeat_target", controlPointOf(beacon));
-        return o.toString();
+  private String acknowledgement(Vessel v) {
+    String beacon = v.state() == VesselState.IN_SERVICE ? node.beacon(v.zone(), v.id()) : null;
+    if (beacon == null) {
+      return "{}";
     }
+    JsonObject o = new JsonObject();
+    o.addProperty("heartbeat_target", controlPointOf(beacon));
+    return o.toString();
+  }
 
-    // -------------------------------------------------------------- operator
+  // -------------------------------------------------------------- operator
 
-    private void ask(Call call, Flag f, long time, long resend, Consumer<Flag> use) {
-        node.ask(f, time, resend, r -> {
-            if (r == null) {
-                call.answer(Replies.problem(504, "no clear answer from the primary"));
-            } else {
-                use.accept(r);
-            }
+  private void ask(Call call, Flag f, long time, long resend, Consumer<Flag> use) {
+    node.ask(
+        f,
+        time,
+        resend,
+        r -> {
+          if (r == null) {
+            call.answer(Replies.problem(504, "no clear answer from the primary"));
+          } else {
+            use.accept(r);
+          }
         });
-    }
+  }
 
-    private void write(Call call, String kind) throws ChartException {
-        String text = bodyOf(call);
-        String base = call.request().first("X-Otterpond-Base-Revision");
-        long number;
-        try {
-            number = base == null ? 0 : Long.parseLong(base.trim());
-        } catch (NumberFormatException e) {
-            throw new ChartException("X-Otterpond-Base-Revision: a whole number is wanted");
-        }
-        // Packed, and if large sent again seldom: the links of nodes without a disk are narrow.
-        boolean big = text.length() > BIG_TEXT;
-        Flag f = new Flag("ask").with("op", "write").with("kind", kind).with("base", number)
-                .with("text", Bale.pack(text));
-        ask(call, f, big ? BIG_ASK : ASK, big ? BIG_RESEND : RESEND, r -> {
-            int status = (int) r.number("status");
-            call.answer(status == 200 ? Replies.json(200, "{}") : Replies.problem(status, r.text("cause")));
-        });
+  private void write(Call call, String kind) throws ChartException {
+    String text = bodyOf(call);
+    String base = call.request().first("X-Otterpond-Base-Revision");
+    long number;
+    try {
+      number = base == null ? 0 : Long.parseLong(base.trim());
+    } catch (NumberFormatException e) {
+      throw new ChartException("X-Otterpond-Base-Revision: a whole number is wanted");
     }
-
-    private void read(Call call) {
-        String beacon = node.configurationSize() > BIG_TEXT ? node.beacon("", "") : null;
-        if (beacon != null) {
-            // A node with a disk has the wider link, too.
-            call.answer(Replies.problem(307, "a large configuration is had from a core node")
-                    .header("Location", "http://" + controlPointOf(beacon) + "/-/Configuration.Read"));
-            return;
-        }
-        ask(call, new Flag("ask").with("op", "read"), ASK, RESEND, r -> {
-            if (!r.has("text")) {
-                call.answer(Replies.problem(404, "no configuration yet"));
-            } else {
-                call.answer(Replies.json(200, unpacked(r)));
-            }
+    // Packed, and if large sent again seldom: the links of nodes without a disk are narrow.
+    boolean big = text.length() > BIG_TEXT;
+    Flag f =
+        new Flag("ask")
+            .with("op", "write")
+            .with("kind", kind)
+            .with("base", number)
+            .with("text", Bale.pack(text));
+    ask(
+        call,
+        f,
+        big ? BIG_ASK : ASK,
+        big ? BIG_RESEND : RESEND,
+        r -> {
+          int status = (int) r.number("status");
+          call.answer(
+              status == 200 ? Replies.json(200, "{}") : Replies.problem(status, r.text("cause")));
         });
-    }
+  }
 
-    /** A storage machine is to be emptied; how long that may take is the operator's to watch. */
-    private void retire(Call call, String name) throws ChartException {
-        if (call.request().body().length > 0) {
-            Fields.of(Fields.parse(bodyOf(call)), "").real("deadline_s", 0, 0);
-        }
-        ask(call, new Flag("ask").with("op", "retire").with("node", name), ASK, RESEND, r -> {
-            switch ((int) r.number("status")) {
-                case 200 -> call.answer(Replies.json(200, "{}"));
-                case 404 -> call.answer(Replies.problem(404, "no such storage machine"));
-                default -> call.answer(Replies.problem(409, "too few storage machines would be left"));
-            }
+  private void read(Call call) {
+    String beacon = node.configurationSize() > BIG_TEXT ? node.beacon("", "") : null;
+    if (beacon != null) {
+      // A node with a disk has the wider link, too.
+      call.answer(
+          Replies.problem(307, "a large configuration is had from a core node")
+              .header("Location", "http://" + controlPointOf(beacon) + "/-/Configuration.Read"));
+      return;
+    }
+    ask(
+        call,
+        new Flag("ask").with("op", "read"),
+        ASK,
+        RESEND,
+        r -> {
+          if (!r.has("text")) {
+            call.answer(Replies.problem(404, "no configuration yet"));
+          } else {
+            call.answer(Replies.json(200, unpacked(r)));
+          }
         });
+  }
+
+  /** A storage machine is to be emptied; how long that may take is the operator's to watch. */
+  private void retire(Call call, String name) throws ChartException {
+    if (call.request().body().length > 0) {
+      Fields.of(Fields.parse(bodyOf(call)), "").real("deadline_s", 0, 0);
     }
+    ask(
+        call,
+        new Flag("ask").with("op", "retire").with("node", name),
+        ASK,
+        RESEND,
+        r -> {
+          switch ((int) r.number("status")) {
+            case 200 -> call.answer(Replies.json(200, "{}"));
+            case 404 -> call.answer(Replies.problem(404, "no such storage machine"));
+            default -> call.answer(Replies.problem(409, "too few storage machines would be left"));
+          }
+        });
+  }
 
-    private void retired(Call call, String name) {
-        ask(call, new Flag("ask").with("op", "retired").with("node", name), ASK, RESEND, r -> {
-            if (r.number("status") != 200) {
-                call.answer(Replies.problem(404, "no such retirement"));
-            } else {
-                call.answer(Replies.json(200, r.truth("done") ? "{\"state\":\"completed\"}"
-                        : "{\"state\":\"in_progress\"}"));
-            }
+  private void retired(Call call, String name) {
+    ask(
+        call,
+        new Flag("ask").with("op", "retired").with("node", name),
+        ASK,
+        RESEND,
+        r -> {
+          if (r.number("status") != 200) {
+            call.answer(Replies.problem(404, "no such retirement"));
+          } else {
+            call.answer(
+                Replies.json(
+                    200,
+                    r.truth("done") ? "{\"state\":\"completed\"}" : "{\"state\":\"in_progress\"}"));
+          }
         });
-    }
+  }
 
-    private static String unpacked(Flag reply) {
-        try {
-            return Bale.unpackText(reply.bytes("text"));
-        } catch (SignalException e) {
-            throw new IllegalStateException("what the primary packed is unreadable here", e);
-        }
+  private static String unpacked(Flag reply) {
+    try {
+      return Bale.unpackText(reply.bytes("text"));
+    } catch (SignalException e) {
+      throw new IllegalStateException("what the primary packed is unreadable here", e);
     }
+  }
 
-    private void status(Call call) {
-        ask(call, new Flag("ask").with("op", "status"), ASK, RESEND, r -> {
-            JsonObject o = new JsonObject();
-            EpochRecord e = EpochRecord.of(r.flag("record"));
-            o.addProperty("confirmed", r.truth("confirmed"));
-            o.addProperty("epoch", e.epoch());
-            o.addProperty("primary", e.primary().name());
-            JsonArray backups = new JsonArray();
-            e.backups().forEach(b -> backups.add(b.name()));
-            o.add("backups", backups);
-            JsonArray members = new JsonArray();
-            e.members().forEach(m -> members.add(m.name()));
-            o.add("core", members);
-            JsonArray silent = new JsonArray();
-            r.list("silent").forEach(m -> silent.add((String) m));
-            o.add("core_silent", silent);
-            o.addProperty("revision", r.number("rev"));
-            o.addProperty("claims", r.number("claims"));
-            o.add("nodes", rows(r, "nodes", "name", "addr", "zone", "cfg", "silent_ms"));
-            o.add("quotas", rows(r, "quotas", "name", "rate", "burst", "tokens", "out", "granted", "denied"));
-            o.add("workers", rows(r, "workers", "id", "service", "addr", "zone", "state", "slots"));
-            o.add("stores", rows(r, "stores", "name", "addr", "zone", "led", "held", "queued", "dead", "oldest_ms",
-                    "in_flight", "silent_ms"));
-            o.add("keys", rows(r, "keys", "service", "ranges", "owners", "held", "granting", "releasing", "expiring",
-                    "fence"));
-            Flag partitions = r.flag("partitions");
-            o.addProperty("partitions", partitions == null ? 0 : partitions.number("count"));
-            o.addProperty("partitions_lacking", partitions == null ? 0 : partitions.number("lacking"));
-            call.answer(Replies.json(200, o.toString()));
+  private void status(Call call) {
+    ask(
+        call,
+        new Flag("ask").with("op", "status"),
+        ASK,
+        RESEND,
+        r -> {
+          JsonObject o = new JsonObject();
+          EpochRecord e = EpochRecord.of(r.flag("record"));
+          o.addProperty("confirmed", r.truth("confirmed"));
+          o.addProperty("epoch", e.epoch());
+          o.addProperty("primary", e.primary().name());
+          JsonArray backups = new JsonArray();
+          e.backups().forEach(b -> backups.add(b.name()));
+          o.add("backups", backups);
+          JsonArray members = new JsonArray();
+          e.members().forEach(m -> members.add(m.name()));
+          o.add("core", members);
+          JsonArray silent = new JsonArray();
+          r.list("silent").forEach(m -> silent.add((String) m));
+          o.add("core_silent", silent);
+          o.addProperty("revision", r.number("rev"));
+          o.addProperty("claims", r.number("claims"));
+          o.add("nodes", rows(r, "nodes", "name", "addr", "zone", "cfg", "silent_ms"));
+          o.add(
+              "quotas",
+              rows(r, "quotas", "name", "rate", "burst", "tokens", "out", "granted", "denied"));
+          o.add("workers", rows(r, "workers", "id", "service", "addr", "zone", "state", "slots"));
+          o.add(
+              "stores",
+              rows(
+                  r,
+                  "stores",
+                  "name",
+                  "addr",
+                  "zone",
+                  "led",
+                  "held",
+                  "queued",
+                  "dead",
+                  "oldest_ms",
+                  "in_flight",
+                  "silent_ms"));
+          o.add(
+              "keys",
+              rows(
+                  r,
+                  "keys",
+                  "service",
+                  "ranges",
+                  "owners",
+                  "held",
+                  "granting",
+                  "releasing",
+                  "expiring",
+                  "fence"));
+          Flag partitions = r.flag("partitions");
+          o.addProperty("partitions", partitions == null ? 0 : partitions.number("count"));
+          o.addProperty(
+              "partitions_lacking", partitions == null ? 0 : partitions.number("lacking"));
+          call.answer(Replies.json(200, o.toString()));
         });
-    }
+  }
 
-    private static JsonElement rows(Flag r, String list, String... names) {
-        JsonArray out = new JsonArray();
-        for (Flag f : r.flags(list)) {
-            JsonObject o = new JsonObject();
-            for (String n : names) {
-                Object v = f.fields().get(n);
-                if (v instanceof Number x) {
-                    o.addProperty(n, x);
-                } else {
-                    o.addProperty(n, String.valueOf(v));
-                }
-            }
-            out.add(o);
+  private static JsonElement rows(Flag r, String list, String... names) {
+    JsonArray out = new JsonArray();
+    for (Flag f : r.flags(list)) {
+      JsonObject o = new JsonObject();
+      for (String n : names) {
+        Object v = f.fields().get(n);
+        if (v instanceof Number x) {
+          o.addProperty(n, x);
+        } else {
+          o.addProperty(n, String.valueOf(v));
         }
-        return out;
+      }
+      out.add(o);
     }
+    return out;
+  }
 }
--- a/src/main/java/org/otterpond/keel/MetricsPage.java
+++ b/src/main/java/org/otterpond/keel/MetricsPage.java
@@ -12,52 +12,71 @@
 import org.otterpond.quay.Missive;
 import org.otterpond.quay.Quay;
 
-/** The metrics, by Micrometer. The registry is made when it is first asked for, to keep a quiet node small. */
+/**
+ * The metrics, by Micrometer. The registry is made when it is first asked for, to keep a quiet node
+ * small.
+ */
 final class MetricsPage {
-    private final Tally tally;
-    private final Pilotage pilotage;
-    private final HarbourNode node;
-    private PrometheusMeterRegistry registry;
+  private final Tally tally;
+  private final Pilotage pilotage;
+  private final HarbourNode node;
+  private PrometheusMeterRegistry registry;
 
-    MetricsPage(Tally tally, Pilotage pilotage, HarbourNode node) {
-        this.tally = tally;
-        this.pilotage = pilotage;
-        this.node = node;
-    }
+  MetricsPage(Tally tally, Pilotage pilotage, HarbourNode node) {
+    this.tally = tally;
+    this.pilotage = pilotage;
+    this.node = node;
+  }
 
-    Missive page() {
-        if (registry == null) {
-            registry = fill(new PrometheusMeterRegistry(PrometheusConfig.DEFAULT));
-        }
-        return Missive.response(200).header("Content-Type", "text/plain; version=0.0.4; charset=utf-8")
-                .body(registry.scrape().getBytes(StandardCharsets.UTF_8));
+  Missive page() {
+    if (registry == null) {
+      registry = fill(new PrometheusMeterRegistry(PrometheusConfig.DEFAULT));
     }
+    return Missive.response(200)
+        .header("Content-Type", "text/plain; version=0.0.4; charset=utf-8")
+        .body(registry.scrape().getBytes(StandardCharsets.UTF_8));
+  }
 
-    private PrometheusMeterRegistry fill(PrometheusMeterRegistry r) {
-        count(r, "otterpond.requests", "Requests received", tally.requests);
-        count(r, "otterpond.requests.unrouted", "Requests with no route", tally.unrouted);
-        count(r, "otterpond.attempts", "Requests sent to a worker", tally.forwarded);
-        count(r, "otterpond.attempts.retried", "Attempts after the first", tally.retries);
-        count(r, "otterpond.attempts.hedged", "Attempts made beside one still open", tally.hedges);
-        count(r, "otterpond.attempts.turned_away", "Attempts that a worker disowned", tally.turnedAway);
-        count(r, "otterpond.attempts.failed", "Attempts without a whole answer", tally.failures);
-        count(r, "otterpond.answers", "Answers of workers passed on", tally.answered);
-        count(r, "otterpond.refusals", "Requests refused unrun", tally.refused);
-        count(r, "otterpond.timeouts", "Requests that reached their deadline", tally.timeouts);
-        count(r, "otterpond.replays", "Repeats answered from the ledger", tally.replays);
-        count(r, "otterpond.requests.unauthorised", "Requests without a key that a tenant holds", tally.unauthorised);
-        count(r, "otterpond.requests.stale", "Requests refused as keys may have been withdrawn unheard", tally.stale);
-        count(r, "otterpond.requests.over_quota", "Requests beyond their tenant's quota", tally.overQuota);
-        Gauge.builder("otterpond.configuration.confirmed.age", node, n -> (Quay.now() - n.freshAt()) / 1e6)
-                .baseUnit("seconds").register(r);
-        Gauge.builder("otterpond.requests.open", pilotage, Pilotage::open).register(r);
-        Gauge.builder("otterpond.configuration.revision", node, n -> n.revision()).register(r);
-        Gauge.builder("otterpond.epoch", node, n -> n.known() == null ? 0 : n.known().epoch()).register(r);
-        Gauge.builder("otterpond.primary", node, n -> n.leading() ? 1 : 0).register(r);
-        return r;
-    }
+  private PrometheusMeterRegistry fill(PrometheusMeterRegistry r) {
+    count(r, "otterpond.requests", "Requests received", tally.requests);
+    count(r, "otterpond.requests.unrouted", "Requests with no route", tally.unrouted);
+    count(r, "otterpond.attempts", "Requests sent to a worker", tally.forwarded);
+    count(r, "otterpond.attempts.retried", "Attempts after the first", tally.retries);
+    count(r, "otterpond.attempts.hedged", "Attempts made beside one still open", tally.hedges);
+    count(r, "otterpond.attempts.turned_away", "Attempts that a worker disowned", tally.turnedAway);
+    count(r, "otterpond.attempts.failed", "Attempts without a whole answer", tally.failures);
+    count(r, "otterpond.answers", "Answers of workers passed on", tally.answered);
+    count(r, "otterpond.refusals", "Requests refused unrun", tally.refused);
+    count(r, "otterpond.timeouts", "Requests that reached their deadline", tally.timeouts);
+    count(r, "otterpond.replays", "Repeats answered from the ledger", tally.replays);
+    count(
+        r,
+        "otterpond.requests.unauthorised",
+        "Requests without a key that a tenant holds",
+        tally.unauthorised);
+    count(
+        r,
+        "otterpond.requests.stale",
+        "Requests refused as keys may have been withdrawn unheard",
+        tally.stale);
+    count(
+        r,
+        "otterpond.requests.over_quota",
+        "Requests beyond their tenant's quota",
+        tally.overQuota);
+    Gauge.builder(
+            "otterpond.configuration.confirmed.age", node, n -> (Quay.now() - n.freshAt()) / 1e6)
+        .baseUnit("seconds")
+        .register(r);
+    Gauge.builder("otterpond.requests.open", pilotage, Pilotage::open).register(r);
+    Gauge.builder("otterpond.configuration.revision", node, n -> n.revision()).register(r);
+    Gauge.builder("otterpond.epoch", node, n -> n.known() == null ? 0 : n.known().epoch())
+        .register(r);
+    Gauge.builder("otterpond.primary", node, n -> n.leading() ? 1 : 0).register(r);
+    return r;
+  }
 
-    private static void count(PrometheusMeterRegistry r, String name, String what, LongAdder adder) {
-        FunctionCounter.builder(name, adder, LongAdder::sum).description(what).register(r);
-    }
+  private static void count(PrometheusMeterRegistry r, String name, String what, LongAdder adder) {
+    FunctionCounter.builder(name, adder, LongAdder::sum).description(what).register(r);
+  }
 }
--- a/src/main/java/org/otterpond/keel/ShipsDeck.java
+++ b/src/main/java/org/otterpond/keel/ShipsDeck.java
@@ -14,68 +14,70 @@
 
 /** The real world, for the state machines. */
 final class ShipsDeck implements Deck {
-    private static final Logger LOG = LoggerFactory.getLogger("org.otterpond.harbour");
+  private static final Logger LOG = LoggerFactory.getLogger("org.otterpond.harbour");
 
-    private final Quay quay;
-    private final ExecutorService reader = Executors.newSingleThreadExecutor(
-            new ThreadFactoryBuilder().setNameFormat("reader").setDaemon(true).build());
-    private Links links;
-    private Purser purser;
+  private final Quay quay;
+  private final ExecutorService reader =
+      Executors.newSingleThreadExecutor(
+          new ThreadFactoryBuilder().setNameFormat("reader").setDaemon(true).build());
+  private Links links;
+  private Purser purser;
 
-    ShipsDeck(Quay quay) {
-        this.quay = quay;
-    }
+  ShipsDeck(Quay quay) {
+    this.quay = quay;
+  }
 
-    void fit(Links l, Purser p) {
-        links = l;
-        purser = p;
-    }
+  void fit(Links l, Purser p) {
+    links = l;
+    purser = p;
+  }
 
-    @Override
-    public long now() {
-        return Quay.now();
-    }
+  @Override
+  public long now() {
+    return Quay.now();
+  }
 
-    @Override
-    public void send(String address, Flag message) {
-        links.send(address, message);
-    }
+  @Override
+  public void send(String address, Flag message) {
+    links.send(address, message);
+  }
 
-    @Override
-    public long connection(String address) {
-        return links.connection(address);
-    }
+  @Override
+  public long connection(String address) {
+    return links.connection(address);
+  }
 
-    @Override
-    public void journal(Flag record, Consumer<Boolean> done) {
-        purser.journal(record, done);
-    }
+  @Override
+  public void journal(Flag record, Consumer<Boolean> done) {
+    purser.journal(record, done);
+  }
 
-    @Override
-    public void after(long delayMicros, Runnable task) {
-        quay.after(delayMicros, task);
-    }
+  @Override
+  public void after(long delayMicros, Runnable task) {
+    quay.after(delayMicros, task);
+  }
 
-    @Override
-    public void apart(Runnable work, Runnable then) {
-        reader.execute(() -> {
-            try {
-                work.run();
-            } catch (RuntimeException | Error e) {
-                LOG.error("event=work_failed cause=\"{}\"", String.valueOf(e));
-            } finally {
-                quay.execute(then);
-            }
+  @Override
+  public void apart(Runnable work, Runnable then) {
+    reader.execute(
+        () -> {
+          try {
+            work.run();
+          } catch (RuntimeException | Error e) {
+            LOG.error("event=work_failed cause=\"{}\"", String.valueOf(e));
+          } finally {
+            quay.execute(then);
+          }
         });
-    }
+  }
 
-    @Override
-    public long random(long bound) {
-        return ThreadLocalRandom.current().nextLong(bound);
-    }
+  @Override
+  public long random(long bound) {
+    return ThreadLocalRandom.current().nextLong(bound);
+  }
 
-    @Override
-    public void event(String line) {
-        LOG.info(line);
-    }
+  @Override
+  public void event(String line) {
+    LOG.info(line);
+  }
 }
--- a/src/main/java/org/otterpond/keys/RangeTable.java
+++ b/src/main/java/org/otterpond/keys/RangeTable.java
@@ -7,28 +7,31 @@
 
 /** The ranges of all services, as a node knows them. */
 public final class RangeTable {
-    private final Map<String, TreeMap<Integer, KeyRange>> services = new HashMap<>();
+  private final Map<String, TreeMap<Integer, KeyRange>> services = new HashMap<>();
 
-    /** Takes what was written under a key; the service whose ranges changed, or null if it is about none. */
-    public String take(Flag entry) {
-        if (!entry.text("key").startsWith(KeyRange.PREFIX)) {
-            return null;
-        }
-        String service = entry.text("service");
-        TreeMap<Integer, KeyRange> ranges = services.computeIfAbsent(service, s -> new TreeMap<>());
-        if (entry.truth("gone")) {
-            ranges.remove((int) entry.number("from"));
-        } else {
-            KeyRange r = KeyRange.of(entry);
-            ranges.put(r.from(), r);
-        }
-        return service;
+  /**
+   * Takes what was written under a key; the service whose ranges changed, or null if it is about
+   * none.
+   */
+  public String take(Flag entry) {
+    if (!entry.text("key").startsWith(KeyRange.PREFIX)) {
+      return null;
     }
-
-    /** The range in which a key lies, or null. */
-    public KeyRange at(String service, int key) {
-        TreeMap<Integer, KeyRange> ranges = services.get(service);
-        Map.Entry<Integer, KeyRange> e = ranges == null ? null : ranges.floorEntry(key);
-        return e == null ? null : e.getValue();
+    String service = entry.text("service");
+    TreeMap<Integer, KeyRange> ranges = services.computeIfAbsent(service, s -> new TreeMap<>());
+    if (entry.truth("gone")) {
+      ranges.remove((int) entry.number("from"));
+    } else {
+      KeyRange r = KeyRange.of(entry);
+      ranges.put(r.from(), r);
     }
+    return service;
+  }
+
+  /** The range in which a key lies, or null. */
+  public KeyRange at(String service, int key) {
+    TreeMap<Integer, KeyRange> ranges = services.get(service);
+    Map.Entry<Integer, KeyRange> e = ranges == null ? null : ranges.floorEntry(key);
+    return e == null ? null : e.getValue();
+  }
 }
--- a/src/main/java/org/otterpond/logbook/Frames.java
+++ b/src/main/java/org/otterpond/logbook/Frames.java
@@ -11,72 +11,75 @@
 
 /** Records as they stand in a file: length, CRC-32C, CBOR. */
 final class Frames {
-    static final int HEAD = 8;
-    static final int MAX_RECORD = 48 << 20;
-    private static final int LONG = 4096;
-    private static final int SLICE = 64 * 1024;
-    private static final int ZLIB = 0x78;
+  static final int HEAD = 8;
+  static final int MAX_RECORD = 48 << 20;
+  private static final int LONG = 4096;
+  private static final int SLICE = 64 * 1024;
+  private static final int ZLIB = 0x78;
 
-    private Frames() {}
+  private Frames() {}
 
-    static byte[] of(Flag f) {
-        return of(FlagCodec.encode(f));
-    }
+  static byte[] of(Flag f) {
+    return of(FlagCodec.encode(f));
+  }
 
-    /** The same with a long record packed; a packed one begins as no map in CBOR does. */
-    static byte[] packed(Flag f) {
-        byte[] body = FlagCodec.encode(f);
-        // What stands in it as bytes was packed before.
-        long bare = body.length;
-        for (Object v : f.fields().values()) {
-            bare -= v instanceof byte[] b ? b.length : 0;
-        }
-        return of(bare > LONG ? Bale.pack(f) : body);
+  /** The same with a long record packed; a packed one begins as no map in CBOR does. */
+  static byte[] packed(Flag f) {
+    byte[] body = FlagCodec.encode(f);
+    // What stands in it as bytes was packed before.
+    long bare = body.length;
+    for (Object v : f.fields().values()) {
+      bare -= v instanceof byte[] b ? b.length : 0;
     }
+    return of(bare > LONG ? Bale.pack(f) : body);
+  }
 
-    static Flag read(byte[] body) throws SignalException {
-        return body[0] == ZLIB ? Bale.unpack(body) : FlagCodec.decode(body, 0, body.length);
-    }
+  static Flag read(byte[] body) throws SignalException {
+    return body[0] == ZLIB ? Bale.unpack(body) : FlagCodec.decode(body, 0, body.length);
+  }
 
-    private static byte[] of(byte[] body) {
-        if (body.length > MAX_RECORD) {
-            throw new IllegalArgumentException("record too large: " + body.length);
-        }
-        return ByteBuffer.allocate(HEAD + body.length).putInt(body.length).putInt(crcOf(body, 0, body.length))
-                .put(body).array();
+  private static byte[] of(byte[] body) {
+    if (body.length > MAX_RECORD) {
+      throw new IllegalArgumentException("record too large: " + body.length);
     }
+    return ByteBuffer.allocate(HEAD + body.length)
+        .putInt(body.length)
+        .putInt(crcOf(body, 0, body.length))
+        .put(body)
+        .array();
+  }
 
-    /**
-     * Writes the bytes in slices: a channel copies each buffer that it is given outside the heap as a whole, where
-     * there is little room, and a thread that finds none there fails by an Error.
-     */
-    static long write(FileChannel c, byte[] bytes, long at) throws IOException {
-        long to = at;
-        for (int from = 0; from < bytes.length; from += SLICE) {
-            ByteBuffer b = ByteBuffer.wrap(bytes, from, Math.min(SLICE, bytes.length - from));
-            while (b.hasRemaining()) {
-                to += c.write(b, to);
-            }
-        }
-        return to;
+  /**
+   * Writes the bytes in slices: a channel copies each buffer that it is given outside the heap as a
+   * whole, where there is little room, and a thread that finds none there fails by an Error.
+   */
+  static long write(FileChannel c, byte[] bytes, long at) throws IOException {
+    long to = at;
+    for (int from = 0; from < bytes.length; from += SLICE) {
+      ByteBuffer b = ByteBuffer.wrap(bytes, from, Math.min(SLICE, bytes.length - from));
+      while (b.hasRemaining()) {
+        to += c.write(b, to);
+      }
     }
+    return to;
+  }
 
-    /** Reads the bytes in slices too; false if there are not so many. */
-    static boolean read(FileChannel c, byte[] bytes, long at) throws IOException {
-        for (int from = 0; from < bytes.length; from += SLICE) {
-            ByteBuffer b = ByteBuffer.wrap(bytes, from, Math.min(SLICE, bytes.length - from));
-            while (b.hasRemaining()) {
-                if (c.read(b, at + b.position()) < 0) {
-                    return false;
-                }
-            }
+  /** Reads the bytes in slices too; false if there are not so many. */
+  static boolean read(FileChannel c, byte[] bytes, long at) throws IOException {
+    for (int from = 0; from < bytes.length; from += SLICE) {
+      ByteBuffer b = ByteBuffer.wrap(bytes, from, Math.min(SLICE, bytes.length - from));
+      while (b.hasRemaining()) {
+        if (c.read(b, at + b.position()) < 0) {
+          return false;
         }
-        return true;
+      }
     }
+    return true;
+  }
 
-    static int crcOf(byte[] bytes, int offset, int length) {
-        CRC32C c = new CRC32C();
-        c.update(bytes, offset, length);
-        return (int) c.getValue();
-    }
+  static int crcOf(byte[] bytes, int offset, int length) {
+    CRC32C c = new CRC32C();
+    c.update(bytes, offset, length);
+    return (int) c.getValue();
+  }
 }
--- a/src/main/java/org/otterpond/message/Depot.java
+++ b/src/main/java/org/otterpond/message/Depot.java
@@ -15,514 +15,595 @@
 import org.otterpond.replica.ReplicaGroup;
 import org.otterpond.signal.Flag;
 
-/** The message partitions of one machine: its replica groups, one journal, one beacon to each other machine. */
+/**
+ * The message partitions of one machine: its replica groups, one journal, one beacon to each other
+ * machine.
+ */
 public final class Depot {
-    private static final String PARTITION = "partition:";
-    private static final long EXPIRE = 500_000;
-    private static final long CLEAN = 5_000_000;
-    private static final long ASK = 700_000;
-    private static final long ASK_AGAIN = 200_000;
-    private static final int MOST_PARKED = 2_000;
-
-    private final Deck deck;
-    private final String me;
-    private final StoreDisk disk;
-    private final StoreTerms terms;
-    private final Courier courier;
-    private final BodyCache cache;
-    private final Map<Integer, Partition> partitions = new TreeMap<>();
-    private HarbourNode node;
-    private long beaconed;
-    private long expired;
-    private long cleaned;
-    private boolean cleaning;
-    private long beaconNumber;
-    private final Map<String, Beacon> beaconsSent = new HashMap<>();
-    /** The newest list of groups that each machine has sent. */
-    private final Map<String, Flag> beaconsHeard = new HashMap<>();
-
-    /** What one machine was last told of the groups that this one leads. */
-    private static final class Beacon {
-        /** Group, version, group, version. */
-        final List<Object> groups = new ArrayList<>();
-        final Map<Integer, Long> points = new HashMap<>();
-        long number;
-        boolean taken;
-    }
-
-    private final class Partition implements GroupHost {
-        final int id;
-        final MessageQueue queue;
-        final ReplicaGroup group;
-        /** Operations whose first message is on its way to the replicas, by its name. */
-        final Map<String, String> operations = new HashMap<>();
-        /** Messages on their way to the replicas, with those who wait to hear. */
-        final Map<String, List<Consumer<Boolean>>> inWriting = new HashMap<>();
-
-        Partition(int id) {
-            this.id = id;
-            this.queue = new MessageQueue(this, disk, courier, cache, terms.endedKept(),
-                    () -> serves(id));
-            this.group = new ReplicaGroup(id, me, this, terms.times(), queue);
-        }
-
-        @Override
-        public long now() {
-            return deck.now();
-        }
-
-        @Override
-        public void send(String member, Flag message) {
-            deck.send(GroupView.addressOf(member), message.with("to", member));
-        }
-
-        @Override
-        public void journal(Flag record, LongConsumer done) {
-            disk.append(record, done);
-        }
-
-        @Override
-        public void after(long delayMicros, Runnable task) {
-            deck.after(delayMicros, task);
-        }
-
-        @Override
-        public void propose(GroupView next, Consumer<GroupView> outcome) {
-            node.ask(new Flag("ask").with("op", "reconfigure").with("view", next.toFlag("view")), ASK, ASK_AGAIN,
-                    r -> outcome.accept(r == null || !r.has("view") ? null : GroupView.of(r.flag("view"))));
-        }
-
-        @Override
-        public void candidateFailed(int group, String member) {
-            node.ask(new Flag("ask").with("op", "candidate-failed").with("group", group).with("member", member), ASK,
-                    ASK_AGAIN, r -> { });
-        }
-
-        @Override
-        public void event(String line) {
-            deck.event(line);
-        }
+  private static final String PARTITION = "partition:";
+  private static final long EXPIRE = 500_000;
+  private static final long CLEAN = 5_000_000;
+  private static final long ASK = 700_000;
+  private static final long ASK_AGAIN = 200_000;
+  private static final int MOST_PARKED = 2_000;
+
+  private final Deck deck;
+  private final String me;
+  private final StoreDisk disk;
+  private final StoreTerms terms;
+  private final Courier courier;
+  private final BodyCache cache;
+  private final Map<Integer, Partition> partitions = new TreeMap<>();
+  private HarbourNode node;
+  private long beaconed;
+  private long expired;
+  private long cleaned;
+  private boolean cleaning;
+  private long beaconNumber;
+  private final Map<String, Beacon> beaconsSent = new HashMap<>();
+
+  /** The newest list of groups that each machine has sent. */
+  private final Map<String, Flag> beaconsHeard = new HashMap<>();
+
+  /** What one machine was last told of the groups that this one leads. */
+  private static final class Beacon {
+    /** Group, version, group, version. */
+    final List<Object> groups = new ArrayList<>();
+
+    final Map<Integer, Long> points = new HashMap<>();
+    long number;
+    boolean taken;
+  }
+
+  private final class Partition implements GroupHost {
+    final int id;
+    final MessageQueue queue;
+    final ReplicaGroup group;
+
+    /** Operations whose first message is on its way to the replicas, by its name. */
+    final Map<String, String> operations = new HashMap<>();
+
+    /** Messages on their way to the replicas, with those who wait to hear. */
+    final Map<String, List<Consumer<Boolean>>> inWriting = new HashMap<>();
+
+    Partition(int id) {
+      this.id = id;
+      this.queue =
+          new MessageQueue(this, disk, courier, cache, terms.endedKept(), () -> serves(id));
+      this.group = new ReplicaGroup(id, me, this, terms.times(), queue);
     }
 
-    public Depot(Deck deck, String disk, String address, StoreDisk storage, StoreTerms terms, Courier courier) {
-        this.deck = deck;
-        this.me = GroupView.member(disk, address);
-        this.disk = storage;
-        this.terms = terms;
-        this.courier = courier;
-        this.cache = new BodyCache(terms.cacheBytes());
+    @Override
+    public long now() {
+      return deck.now();
     }
 
-    /** The control side, through which the configuration manager is asked. */
-    public void fit(HarbourNode control) {
-        this.node = control;
+    @Override
+    public void send(String member, Flag message) {
+      deck.send(GroupView.addressOf(member), message.with("to", member));
     }
 
-    private Partition partition(int id) {
-        return partitions.computeIfAbsent(id, Partition::new);
+    @Override
+    public void journal(Flag record, LongConsumer done) {
+      disk.append(record, done);
     }
 
-    // ----------------------------------------------------------------- start
+    @Override
+    public void after(long delayMicros, Runnable task) {
+      deck.after(delayMicros, task);
+    }
 
-    /** One record of the journal, in order. */
-    public void replay(Flag f, long place) {
-        if (f.has("group")) {
-            partition((int) f.number("group")).group.replay(f, place);
-        }
+    @Override
+    public void propose(GroupView next, Consumer<GroupView> outcome) {
+      node.ask(
+          new Flag("ask").with("op", "reconfigure").with("view", next.toFlag("view")),
+          ASK,
+          ASK_AGAIN,
+          r -> outcome.accept(r == null || !r.has("view") ? null : GroupView.of(r.flag("view"))));
     }
 
-    public void start() {
-        partitions.values().forEach(p -> p.group.replayed());
-        tick();
+    @Override
+    public void candidateFailed(int group, String member) {
+      node.ask(
+          new Flag("ask")
+              .with("op", "candidate-failed")
+              .with("group", group)
+              .with("member", member),
+          ASK,
+          ASK_AGAIN,
+          r -> {});
     }
 
-    /** What a fresh segment must begin with, so that older ones can go. */
-    public List<Flag> journalHead() {
-        List<Flag> out = new ArrayList<>();
-        partitions.values().forEach(p -> {
-            Flag meta = p.group.meta();
-            if (meta != null) {
-                out.add(meta);
-            }
-        });
-        return out;
+    @Override
+    public void event(String line) {
+      deck.event(line);
+    }
+  }
+
+  public Depot(
+      Deck deck,
+      String disk,
+      String address,
+      StoreDisk storage,
+      StoreTerms terms,
+      Courier courier) {
+    this.deck = deck;
+    this.me = GroupView.member(disk, address);
+    this.disk = storage;
+    this.terms = terms;
+    this.courier = courier;
+    this.cache = new BodyCache(terms.cacheBytes());
+  }
+
+  /** The control side, through which the configuration manager is asked. */
+  public void fit(HarbourNode control) {
+    this.node = control;
+  }
+
+  private Partition partition(int id) {
+    return partitions.computeIfAbsent(id, Partition::new);
+  }
+
+  // ----------------------------------------------------------------- start
+
+  /** One record of the journal, in order. */
+  public void replay(Flag f, long place) {
+    if (f.has("group")) {
+      partition((int) f.number("group")).group.replay(f, place);
     }
+  }
+
+  public void start() {
+    partitions.values().forEach(p -> p.group.replayed());
+    tick();
+  }
+
+  /** What a fresh segment must begin with, so that older ones can go. */
+  public List<Flag> journalHead() {
+    List<Flag> out = new ArrayList<>();
+    partitions
+        .values()
+        .forEach(
+            p -> {
+              Flag meta = p.group.meta();
+              if (meta != null) {
+                out.add(meta);
+              }
+            });
+    return out;
+  }
 
-    // ------------------------------------------------------------------ news
+  // ------------------------------------------------------------------ news
 
-    public void assigned(Flag entry) {
-        if (!entry.text("key").startsWith(PARTITION)) {
-            return;
-        }
-        GroupView v = GroupView.of(entry);
-        if (v.has(me) || partitions.containsKey(v.group())) {
-            Partition p = partition(v.group());
-            p.group.learn(v);
-            if (!p.group.involved()) {
-                partitions.remove(v.group());
-            }
-        }
+  public void assigned(Flag entry) {
+    if (!entry.text("key").startsWith(PARTITION)) {
+      return;
     }
-
-    public void peerLost(String address) {
-        partitions.values().forEach(p -> p.group.peerLost(address));
+    GroupView v = GroupView.of(entry);
+    if (v.has(me) || partitions.containsKey(v.group())) {
+      Partition p = partition(v.group());
+      p.group.learn(v);
+      if (!p.group.involved()) {
+        partitions.remove(v.group());
+      }
     }
-
-    /** A message of another node; false if it is none for this part. */
-    public boolean message(String from, Flag f, Consumer<Flag> reply) {
-        switch (f.kind()) {
-            case "g.beacon" -> onBeacon(from, f);
-            case "g.beaconed" -> onBeaconed(from, f);
-            case "m.put" -> put(f, reply);
-            case "m.state" -> state(f, reply);
-            case "m.body" -> body(f, reply);
-            default -> {
-                if (!f.kind().startsWith("g.")) {
-                    return false;
-                }
-                // What was meant for the disk that this machine had before is not for this one.
-                if (me.equals(f.text("to"))) {
-                    int id = (int) f.number("group");
-                    if (partitions.containsKey(id) || f.has("view")) {
-                        partition(id).group.onMessage(from, f);
-                    }
-                }
-            }
-        }
-        return true;
+  }
+
+  public void peerLost(String address) {
+    partitions.values().forEach(p -> p.group.peerLost(address));
+  }
+
+  /** A message of another node; false if it is none for this part. */
+  public boolean message(String from, Flag f, Consumer<Flag> reply) {
+    switch (f.kind()) {
+      case "g.beacon" -> onBeacon(from, f);
+      case "g.beaconed" -> onBeaconed(from, f);
+      case "m.put" -> put(f, reply);
+      case "m.state" -> state(f, reply);
+      case "m.body" -> body(f, reply);
+      default -> {
+        if (!f.kind().startsWith("g.")) {
+          return false;
+        }
+        // What was meant for the disk that this machine had before is not for this one.
+        if (me.equals(f.text("to"))) {
+          int id = (int) f.number("group");
+          if (partitions.containsKey(id) || f.has("view")) {
+            partition(id).group.onMessage(from, f);
+          }
+        }
+      }
     }
+    return true;
+  }
 
-    // --------------------------------------------------------------- beacons
+  // --------------------------------------------------------------- beacons
 
-    private void tick() {
-        long now = deck.now();
-        if (now - beaconed >= terms.times().beacon()) {
-            beaconed = now;
-            beacons(now);
-        }
-        new ArrayList<>(partitions.values()).forEach(p -> p.group.tick());
-        if (now - expired > EXPIRE) {
-            expired = now;
-            partitions.values().forEach(p -> p.queue.expire(now).forEach(m ->
-                    ended(p.queue, m, Message.State.DEAD_LETTER, null)));
-        }
-        if (now - cleaned > CLEAN && !cleaning) {
-            cleaned = now;
-            clean();
-        }
-        deck.after(terms.times().beacon() / 3, this::tick);
-    }
-
-    /**
-     * One to each machine, for all groups that this one leads with a secondary there. The groups and versions are named
-     * only when they have changed, or the other has not got them; committed points only when they have moved.
-     */
-    private void beacons(long now) {
-        Map<String, Beacon> byMember = new LinkedHashMap<>();
-        partitions.values().forEach(p -> {
-            GroupView v = p.group.view();
-            if (v == null || !v.primary().equals(me)) {
+  private void tick() {
+    long now = deck.now();
+    if (now - beaconed >= terms.times().beacon()) {
+      beaconed = now;
+      beacons(now);
+    }
+    new ArrayList<>(partitions.values()).forEach(p -> p.group.tick());
+    if (now - expired > EXPIRE) {
+      expired = now;
+      partitions
+          .values()
+          .forEach(
+              p ->
+                  p.queue
+                      .expire(now)
+                      .forEach(m -> ended(p.queue, m, Message.State.DEAD_LETTER, null)));
+    }
+    if (now - cleaned > CLEAN && !cleaning) {
+      cleaned = now;
+      clean();
+    }
+    deck.after(terms.times().beacon() / 3, this::tick);
+  }
+
+  /**
+   * One to each machine, for all groups that this one leads with a secondary there. The groups and
+   * versions are named only when they have changed, or the other has not got them; committed points
+   * only when they have moved.
+   */
+  private void beacons(long now) {
+    Map<String, Beacon> byMember = new LinkedHashMap<>();
+    partitions
+        .values()
+        .forEach(
+            p -> {
+              GroupView v = p.group.view();
+              if (v == null || !v.primary().equals(me)) {
                 return;
-            }
-            for (String s : v.secondaries()) {
+              }
+              for (String s : v.secondaries()) {
                 Beacon b = byMember.computeIfAbsent(s, x -> new Beacon());
                 b.groups.add((long) p.id);
                 b.groups.add(v.version());
                 b.points.put(p.id, p.group.committed());
-            }
-        });
-        beaconsSent.keySet().retainAll(byMember.keySet());
-        byMember.forEach((m, b) -> {
-            Beacon last = beaconsSent.put(m, b);
-            Flag f = new Flag("g.beacon").with("to", m).with("at", now);
-            boolean same = last != null && last.taken && last.groups.equals(b.groups);
-            b.number = same ? last.number : ++beaconNumber;
-            b.taken = same;
-            f.with("n", b.number).with("life", node.life());
-            if (!same) {
-                f.with("from", me).with("groups", b.groups);
-            }
-            List<Object> points = new ArrayList<>();
-            b.points.forEach((id, point) -> {
+              }
+            });
+    beaconsSent.keySet().retainAll(byMember.keySet());
+    byMember.forEach(
+        (m, b) -> {
+          Beacon last = beaconsSent.put(m, b);
+          Flag f = new Flag("g.beacon").with("to", m).with("at", now);
+          boolean same = last != null && last.taken && last.groups.equals(b.groups);
+          b.number = same ? last.number : ++beaconNumber;
+          b.taken = same;
+          f.with("n", b.number).with("life", node.life());
+          if (!same) {
+            f.with("from", me).with("groups", b.groups);
+          }
+          List<Object> points = new ArrayList<>();
+          b.points.forEach(
+              (id, point) -> {
                 if (!same || !point.equals(last.points.get(id))) {
-                    points.add((long) id);
-                    points.add(point);
+                  points.add((long) id);
+                  points.add(point);
                 }
-            });
-            if (!points.isEmpty()) {
-                f.with("points", points);
-            }
-            deck.send(GroupView.addressOf(m), f);
+              });
+          if (!points.isEmpty()) {
+            f.with("points", points);
+          }
+          deck.send(GroupView.addressOf(m), f);
         });
-    }
+  }
 
-    private void onBeacon(String from, Flag f) {
-        if (!me.equals(f.text("to"))) {
-            return;
-        }
-        if (f.has("groups")) {
-            beaconsHeard.put(from, f);
-        }
-        Flag list = beaconsHeard.get(from);
-        Flag answer = new Flag("g.beaconed").with("at", f.number("at")).with("n", f.number("n"));
-        if (list == null || list.number("n") != f.number("n") || list.number("life") != f.number("life")) {
-            // The list that it speaks of has not come here: it is asked for.
-            deck.send(from, answer.with("member", me).with("unknown", true));
-            return;
-        }
-        Map<Integer, Long> points = new HashMap<>();
-        List<Object> told = f.list("points");
-        for (int i = 0; i + 1 < told.size(); i += 2) {
-            points.put(((Number) told.get(i)).intValue(), ((Number) told.get(i + 1)).longValue());
-        }
-        List<Object> groups = list.list("groups");
-        List<Object> refused = new ArrayList<>();
-        for (int i = 0; i + 1 < groups.size(); i += 2) {
-            int id = ((Number) groups.get(i)).intValue();
-            long version = ((Number) groups.get(i + 1)).longValue();
-            Partition p = partitions.get(id);
-            if (p != null && p.group.beacon(list.text("from"), version, points.getOrDefault(id, 0L))) {
-                continue;
-            }
-            refused.add((long) id);
-            if (p != null && p.group.view() != null && p.group.view().version() > version) {
-                deck.send(from, new Flag("g.view").with("to", list.text("from")).with("group", id)
-                        .with("view", p.group.view().toFlag("view")));
-            }
-        }
-        deck.send(from, answer.with("member", me).with("refused", refused.isEmpty() ? null : refused));
+  private void onBeacon(String from, Flag f) {
+    if (!me.equals(f.text("to"))) {
+      return;
     }
-
-    private void onBeaconed(String from, Flag f) {
-        Beacon b = beaconsSent.get(f.text("member"));
-        if (b == null || b.number != f.number("n")) {
-            return;
-        }
-        b.taken = !f.truth("unknown");
-        if (!b.taken) {
-            return;
-        }
-        List<Object> refused = f.list("refused");
-        for (int i = 0; i + 1 < b.groups.size(); i += 2) {
-            Partition p = partitions.get(((Number) b.groups.get(i)).intValue());
-            if (p != null && !refused.contains(b.groups.get(i))) {
-                p.group.beaconAcknowledged(f.text("member"), ((Number) b.groups.get(i + 1)).longValue(),
-                        f.number("at"));
-            }
-        }
+    if (f.has("groups")) {
+      beaconsHeard.put(from, f);
     }
-
-    // ---------------------------------------------------------------- accept
-
-    /**
-     * Takes a message. "taken" names it once all replicas hold it; "no" says that it was not taken and is not held
-     * anywhere by this ask.
-     */
-    private void put(Flag f, Consumer<Flag> reply) {
-        Partition p = partitions.get((int) f.number("group"));
-        if (p == null || p.group.view() == null || !p.group.view().primary().equals(me)) {
-            reply.accept(new Flag("reply").with("no", "elsewhere"));
-            return;
-        }
-        if (!p.group.serving()) {
-            reply.accept(new Flag("reply").with("no", "not_serving"));
-            return;
-        }
-        if (disk.nearlyFull() || p.group.parked() > MOST_PARKED) {
-            reply.accept(new Flag("reply").with("no", "full"));
-            return;
-        }
-        Flag entry = f.flag("message");
-        String id = entry.text("id");
-        String operation = entry.has("op") ? Message.operationName(entry.text("tenant"), entry.text("op")) : null;
-        Message before = operation == null ? null : p.queue.ofOperation(operation);
-        if (before != null || p.queue.get(id) != null) {
-            reply.accept(new Flag("reply").with("taken", before != null ? before.id : id));
-            return;
-        }
-        String first = operation == null ? null : p.operations.get(operation);
-        String name = first != null ? first : id;
-        List<Consumer<Boolean>> waiting = p.inWriting.get(name);
-        Consumer<Boolean> told = ok -> reply.accept(ok ? new Flag("reply").with("taken", name)
-                : new Flag("reply").with("no", "moved"));
-        if (waiting != null) {
-            waiting.add(told);
-            return;
-        }
-        List<Consumer<Boolean>> all = new ArrayList<>(List.of(told));
-        p.inWriting.put(id, all);
-        if (operation != null) {
-            p.operations.put(operation, id);
-        }
-        Consumer<Boolean> done = ok -> {
-            p.inWriting.remove(id, all);
-            if (operation != null) {
-                p.operations.remove(operation, id);
-            }
-            all.forEach(c -> c.accept(ok));
-        };
-        p.group.update(entry, true, () -> done.accept(true), () -> done.accept(false));
+    Flag list = beaconsHeard.get(from);
+    Flag answer = new Flag("g.beaconed").with("at", f.number("at")).with("n", f.number("n"));
+    if (list == null
+        || list.number("n") != f.number("n")
+        || list.number("life") != f.number("life")) {
+      // The list that it speaks of has not come here: it is asked for.
+      deck.send(from, answer.with("member", me).with("unknown", true));
+      return;
     }
-
-    // ------------------------------------------------------------- questions
-
-    private Message known(Flag f, Consumer<Flag> reply) {
-        Partition p = partitions.get((int) f.number("group"));
-        if (p == null || !p.group.serving()) {
-            reply.accept(new Flag("reply").with("no", "elsewhere"));
-            return null;
-        }
-        Message m = p.queue.get(f.text("id"));
-        String tenant = f.text("tenant");
-        if (m == null || (m.tenant == null ? tenant != null : !m.tenant.equals(tenant))) {
-            reply.accept(new Flag("reply").with("unknown", true));
-            return null;
-        }
-        return m;
+    Map<Integer, Long> points = new HashMap<>();
+    List<Object> told = f.list("points");
+    for (int i = 0; i + 1 < told.size(); i += 2) {
+      points.put(((Number) told.get(i)).intValue(), ((Number) told.get(i + 1)).longValue());
     }
-
-    private void state(Flag f, Consumer<Flag> reply) {
-        Message m = known(f, reply);
-        if (m != null) {
-            reply.accept(new Flag("reply").with("state", m.state.name()).with("seal", m.seal));
-        }
+    List<Object> groups = list.list("groups");
+    List<Object> refused = new ArrayList<>();
+    for (int i = 0; i + 1 < groups.size(); i += 2) {
+      int id = ((Number) groups.get(i)).intValue();
+      long version = ((Number) groups.get(i + 1)).longValue();
+      Partition p = partitions.get(id);
+      if (p != null && p.group.beacon(list.text("from"), version, points.getOrDefault(id, 0L))) {
+        continue;
+      }
+      refused.add((long) id);
+      if (p != null && p.group.view() != null && p.group.view().version() > version) {
+        deck.send(
+            from,
+            new Flag("g.view")
+                .with("to", list.text("from"))
+                .with("group", id)
+                .with("view", p.group.view().toFlag("view")));
+      }
     }
+    deck.send(from, answer.with("member", me).with("refused", refused.isEmpty() ? null : refused));
+  }
 
-    private void body(Flag f, Consumer<Flag> reply) {
-        Message m = known(f, reply);
-        if (m == null) {
-            return;
-        }
-        if (m.state == Message.State.COMPLETED) {
-            reply.accept(new Flag("reply").with("unknown", true));
-            return;
-        }
-        partitions.get((int) f.number("group")).queue.whole(m, w -> reply.accept(w == null
-                ? new Flag("reply").with("no", "unreadable") : new Flag("reply").with("body", w.bytes("body"))));
+  private void onBeaconed(String from, Flag f) {
+    Beacon b = beaconsSent.get(f.text("member"));
+    if (b == null || b.number != f.number("n")) {
+      return;
     }
-
-    // -------------------------------------------------------------- outcomes
-
-    private Partition of(MessageQueue q) {
-        for (Partition p : partitions.values()) {
-            if (p.queue == q) {
-                return p;
-            }
-        }
-        return null;
+    b.taken = !f.truth("unknown");
+    if (!b.taken) {
+      return;
     }
-
-    /** The message has ended; the next of its order may begin once all replicas know. */
-    public void ended(MessageQueue q, Message m, Message.State state, String seal) {
-        Partition p = of(q);
-        if (p == null || q.get(m.id) != m || m.ending || m.state != Message.State.QUEUED) {
-            return;
-        }
-        m.ending = true;
-        p.group.update(new Flag("end").with("id", m.id).with("state", state.name()).with("seal", seal)
-                .with("tenant", m.tenant).with("op", m.operation).with("host", m.host).with("target", m.target)
-                .with("cfg", m.revision), false, () -> { }, () -> m.ending = false);
-    }
-
-    /** A worker failed an attempt; it is counted on all replicas. */
-    public void tried(MessageQueue q, Message m) {
-        Partition p = of(q);
-        m.attempts++;
-        if (p != null && q.get(m.id) == m) {
-            p.group.update(new Flag("tried").with("id", m.id).with("attempts", m.attempts), false, () -> { },
-                    () -> { });
-        }
+    List<Object> refused = f.list("refused");
+    for (int i = 0; i + 1 < b.groups.size(); i += 2) {
+      Partition p = partitions.get(((Number) b.groups.get(i)).intValue());
+      if (p != null && !refused.contains(b.groups.get(i))) {
+        p.group.beaconAcknowledged(
+            f.text("member"), ((Number) b.groups.get(i + 1)).longValue(), f.number("at"));
+      }
     }
-
-    // -------------------------------------------------------------- cleaning
-
-    /** Writes on what counts in the oldest segment, once that is old enough, and lets the segment go. */
-    private void clean() {
-        if (!disk.oldestClosedFor(terms.endedKept() + 10_000_000)) {
-            return;
-        }
-        cleaning = true;
-        long before = disk.oldestEnd();
-        int[] open = {1};
-        boolean[] good = {true};
-        Runnable one = () -> {
-            if (--open[0] == 0) {
-                cleaning = false;
-                if (good[0]) {
-                    disk.dropOldest();
-                }
-            }
-        };
-        for (Partition p : partitions.values()) {
-            p.group.carry();
-            for (Message m : p.queue.standingBefore(before)) {
-                open[0]++;
-                p.queue.whole(m, w -> {
-                    if (w == null || p.queue.get(m.id) != m) {
-                        good[0] &= w != null;
-                        one.run();
-                        return;
-                    }
-                    Flag piece = m.piece(w, deck.now());
-                    disk.append(new Flag("piece").with("group", p.id).with("piece", piece), place -> {
-                        good[0] &= place >= 0;
-                        if (place >= 0 && p.queue.get(m.id) == m) {
-                            m.place = place;
-                        }
-                        one.run();
-                    });
-                });
-            }
-        }
-        one.run();
+  }
+
+  // ---------------------------------------------------------------- accept
+
+  /**
+   * Takes a message. "taken" names it once all replicas hold it; "no" says that it was not taken
+   * and is not held anywhere by this ask.
+   */
+  private void put(Flag f, Consumer<Flag> reply) {
+    Partition p = partitions.get((int) f.number("group"));
+    if (p == null || p.group.view() == null || !p.group.view().primary().equals(me)) {
+      reply.accept(new Flag("reply").with("no", "elsewhere"));
+      return;
+    }
+    if (!p.group.serving()) {
+      reply.accept(new Flag("reply").with("no", "not_serving"));
+      return;
+    }
+    if (disk.nearlyFull() || p.group.parked() > MOST_PARKED) {
+      reply.accept(new Flag("reply").with("no", "full"));
+      return;
+    }
+    Flag entry = f.flag("message");
+    String id = entry.text("id");
+    String operation =
+        entry.has("op") ? Message.operationName(entry.text("tenant"), entry.text("op")) : null;
+    Message before = operation == null ? null : p.queue.ofOperation(operation);
+    if (before != null || p.queue.get(id) != null) {
+      reply.accept(new Flag("reply").with("taken", before != null ? before.id : id));
+      return;
+    }
+    String first = operation == null ? null : p.operations.get(operation);
+    String name = first != null ? first : id;
+    List<Consumer<Boolean>> waiting = p.inWriting.get(name);
+    Consumer<Boolean> told =
+        ok ->
+            reply.accept(
+                ok ? new Flag("reply").with("taken", name) : new Flag("reply").with("no", "moved"));
+    if (waiting != null) {
+      waiting.add(told);
+      return;
+    }
+    List<Consumer<Boolean>> all = new ArrayList<>(List.of(told));
+    p.inWriting.put(id, all);
+    if (operation != null) {
+      p.operations.put(operation, id);
     }
+    Consumer<Boolean> done =
+        ok -> {
+          p.inWriting.remove(id, all);
+          if (operation != null) {
+            p.operations.remove(operation, id);
+          }
+          all.forEach(c -> c.accept(ok));
+        };
+    p.group.update(entry, true, () -> done.accept(true), () -> done.accept(false));
+  }
 
-    // ---------------------------------------------------------------- ending
+  // ------------------------------------------------------------- questions
 
-    /** A planned end: what this node leads is handed to others. */
-    public void retire() {
-        partitions.values().forEach(p -> p.group.handOver());
+  private Message known(Flag f, Consumer<Flag> reply) {
+    Partition p = partitions.get((int) f.number("group"));
+    if (p == null || !p.group.serving()) {
+      reply.accept(new Flag("reply").with("no", "elsewhere"));
+      return null;
     }
-
-    /** Whether this node leads nothing any more. */
-    public boolean handedOver() {
-        return partitions.values().stream().noneMatch(p -> p.group.view() != null
-                && p.group.view().primary().equals(me) && !p.group.view().secondaries().isEmpty());
+    Message m = p.queue.get(f.text("id"));
+    String tenant = f.text("tenant");
+    if (m == null || (m.tenant == null ? tenant != null : !m.tenant.equals(tenant))) {
+      reply.accept(new Flag("reply").with("unknown", true));
+      return null;
     }
+    return m;
+  }
 
-    /** Whether this node serves a partition now. */
-    public boolean serves(int partition) {
-        Partition p = partitions.get(partition);
-        return p != null && p.group.serving();
+  private void state(Flag f, Consumer<Flag> reply) {
+    Message m = known(f, reply);
+    if (m != null) {
+      reply.accept(new Flag("reply").with("state", m.state.name()).with("seal", m.seal));
     }
+  }
 
-    /** How a partition stands here, in one line; null if it is not here. */
-    public String describe(int partition) {
-        Partition p = partitions.get(partition);
-        return p == null ? null : p.group.toString();
+  private void body(Flag f, Consumer<Flag> reply) {
+    Message m = known(f, reply);
+    if (m == null) {
+      return;
+    }
+    if (m.state == Message.State.COMPLETED) {
+      reply.accept(new Flag("reply").with("unknown", true));
+      return;
+    }
+    partitions
+        .get((int) f.number("group"))
+        .queue
+        .whole(
+            m,
+            w ->
+                reply.accept(
+                    w == null
+                        ? new Flag("reply").with("no", "unreadable")
+                        : new Flag("reply").with("body", w.bytes("body"))));
+  }
+
+  // -------------------------------------------------------------- outcomes
+
+  private Partition of(MessageQueue q) {
+    for (Partition p : partitions.values()) {
+      if (p.queue == q) {
+        return p;
+      }
     }
+    return null;
+  }
+
+  /** The message has ended; the next of its order may begin once all replicas know. */
+  public void ended(MessageQueue q, Message m, Message.State state, String seal) {
+    Partition p = of(q);
+    if (p == null || q.get(m.id) != m || m.ending || m.state != Message.State.QUEUED) {
+      return;
+    }
+    m.ending = true;
+    p.group.update(
+        new Flag("end")
+            .with("id", m.id)
+            .with("state", state.name())
+            .with("seal", seal)
+            .with("tenant", m.tenant)
+            .with("op", m.operation)
+            .with("host", m.host)
+            .with("target", m.target)
+            .with("cfg", m.revision),
+        false,
+        () -> {},
+        () -> m.ending = false);
+  }
+
+  /** A worker failed an attempt; it is counted on all replicas. */
+  public void tried(MessageQueue q, Message m) {
+    Partition p = of(q);
+    m.attempts++;
+    if (p != null && q.get(m.id) == m) {
+      p.group.update(
+          new Flag("tried").with("id", m.id).with("attempts", m.attempts),
+          false,
+          () -> {},
+          () -> {});
+    }
+  }
+
+  // -------------------------------------------------------------- cleaning
 
-    /** What this machine tells of itself: partitions led and held, messages queued and dead, the oldest's wait. */
-    public Map<String, Long> figures() {
-        Map<String, Long> out = new LinkedHashMap<>();
-        long now = deck.now();
-        long led = 0;
-        long queued = 0;
-        long dead = 0;
-        long oldest = 0;
-        for (Partition p : partitions.values()) {
-            if (p.queue.serving()) {
-                led++;
-                queued += p.queue.queued();
-                dead += p.queue.dead();
-                oldest = Math.max(oldest, p.queue.oldest(now) / 1000);
+  /**
+   * Writes on what counts in the oldest segment, once that is old enough, and lets the segment go.
+   */
+  private void clean() {
+    if (!disk.oldestClosedFor(terms.endedKept() + 10_000_000)) {
+      return;
+    }
+    cleaning = true;
+    long before = disk.oldestEnd();
+    int[] open = {1};
+    boolean[] good = {true};
+    Runnable one =
+        () -> {
+          if (--open[0] == 0) {
+            cleaning = false;
+            if (good[0]) {
+              disk.dropOldest();
             }
-        }
-        out.put("led", led);
-        out.put("held", (long) partitions.size());
-        out.put("queued", queued);
-        out.put("dead", dead);
-        out.put("oldest_ms", oldest);
-        return out;
+          }
+        };
+    for (Partition p : partitions.values()) {
+      p.group.carry();
+      for (Message m : p.queue.standingBefore(before)) {
+        open[0]++;
+        p.queue.whole(
+            m,
+            w -> {
+              if (w == null || p.queue.get(m.id) != m) {
+                good[0] &= w != null;
+                one.run();
+                return;
+              }
+              Flag piece = m.piece(w, deck.now());
+              disk.append(
+                  new Flag("piece").with("group", p.id).with("piece", piece),
+                  place -> {
+                    good[0] &= place >= 0;
+                    if (place >= 0 && p.queue.get(m.id) == m) {
+                      m.place = place;
+                    }
+                    one.run();
+                  });
+            });
+      }
+    }
+    one.run();
+  }
+
+  // ---------------------------------------------------------------- ending
+
+  /** A planned end: what this node leads is handed to others. */
+  public void retire() {
+    partitions.values().forEach(p -> p.group.handOver());
+  }
+
+  /** Whether this node leads nothing any more. */
+  public boolean handedOver() {
+    return partitions.values().stream()
+        .noneMatch(
+            p ->
+                p.group.view() != null
+                    && p.group.view().primary().equals(me)
+                    && !p.group.view().secondaries().isEmpty());
+  }
+
+  /** Whether this node serves a partition now. */
+  public boolean serves(int partition) {
+    Partition p = partitions.get(partition);
+    return p != null && p.group.serving();
+  }
+
+  /** How a partition stands here, in one line; null if it is not here. */
+  public String describe(int partition) {
+    Partition p = partitions.get(partition);
+    return p == null ? null : p.group.toString();
+  }
+
+  /**
+   * What this machine tells of itself: partitions led and held, messages queued and dead, the
+   * oldest's wait.
+   */
+  public Map<String, Long> figures() {
+    Map<String, Long> out = new LinkedHashMap<>();
+    long now = deck.now();
+    long led = 0;
+    long queued = 0;
+    long dead = 0;
+    long oldest = 0;
+    for (Partition p : partitions.values()) {
+      if (p.queue.serving()) {
+        led++;
+        queued += p.queue.queued();
+        dead += p.queue.dead();
+        oldest = Math.max(oldest, p.queue.oldest(now) / 1000);
+      }
     }
+    out.put("led", led);
+    out.put("held", (long) partitions.size());
+    out.put("queued", queued);
+    out.put("dead", dead);
+    out.put("oldest_ms", oldest);
+    return out;
+  }
 }
--- a/src/main/java/org/otterpond/message/StoreTerms.java
+++ b/src/main/java/org/otterpond/message/StoreTerms.java
@@ -9,8 +9,9 @@
  * @param keyWindowMicros how long a repeat of an accepted operation gets the first one's name
  * @param cacheBytes how much of the newest messages is kept in memory
  */
-public record StoreTerms(long statusMicros, long keyWindowMicros, long cacheBytes, GroupTimes times) {
-    long endedKept() {
-        return Math.max(statusMicros, keyWindowMicros) + 10_000_000;
-    }
+public record StoreTerms(
+    long statusMicros, long keyWindowMicros, long cacheBytes, GroupTimes times) {
+  long endedKept() {
+    return Math.max(statusMicros, keyWindowMicros) + 10_000_000;
+  }
 }
--- a/src/main/java/org/otterpond/quay/FrontDoor.java
+++ b/src/main/java/org/otterpond/quay/FrontDoor.java
@@ -14,92 +14,93 @@
 
 /** One listening point and the connections that came by it. */
 public final class FrontDoor implements Mooring {
-    private static final Logger LOG = LoggerFactory.getLogger(FrontDoor.class);
-    private static final long CHECK = 500_000;
-    private static final int BACKLOG = 512;
+  private static final Logger LOG = LoggerFactory.getLogger(FrontDoor.class);
+  private static final long CHECK = 500_000;
+  private static final int BACKLOG = 512;
 
-    private final Quay quay;
-    private final CallHandler handler;
-    private final ServerSocketChannel server;
-    private final SelectionKey key;
-    private final int maxConnections;
-    private final long bodyBound;
-    private final Set<Gangway> gangways = new LinkedHashSet<>();
+  private final Quay quay;
+  private final CallHandler handler;
+  private final ServerSocketChannel server;
+  private final SelectionKey key;
+  private final int maxConnections;
+  private final long bodyBound;
+  private final Set<Gangway> gangways = new LinkedHashSet<>();
 
-    public FrontDoor(Quay quay, CallHandler handler, InetSocketAddress at, int maxConnections, long bodyBound)
-            throws IOException {
-        this.quay = quay;
-        this.handler = handler;
-        this.maxConnections = maxConnections;
-        this.bodyBound = bodyBound;
-        server = ServerSocketChannel.open();
-        server.setOption(StandardSocketOptions.SO_REUSEADDR, true);
-        server.bind(at, BACKLOG);
-        key = quay.moor(server, SelectionKey.OP_ACCEPT, this);
-        quay.after(CHECK, this::check);
-    }
+  public FrontDoor(
+      Quay quay, CallHandler handler, InetSocketAddress at, int maxConnections, long bodyBound)
+      throws IOException {
+    this.quay = quay;
+    this.handler = handler;
+    this.maxConnections = maxConnections;
+    this.bodyBound = bodyBound;
+    server = ServerSocketChannel.open();
+    server.setOption(StandardSocketOptions.SO_REUSEADDR, true);
+    server.bind(at, BACKLOG);
+    key = quay.moor(server, SelectionKey.OP_ACCEPT, this);
+    quay.after(CHECK, this::check);
+  }
 
-    long bodyBound() {
-        return bodyBound;
-    }
+  long bodyBound() {
+    return bodyBound;
+  }
 
-    @Override
-    public void ready(SelectionKey k) {
-        try {
-            for (int i = 0; i < 64; i++) {
-                SocketChannel c = server.accept();
-                if (c == null) {
-                    return;
-                }
-                if (gangways.size() >= maxConnections) {
-                    makeRoom();
-                }
-                gangways.add(new Gangway(quay, handler, this, c));
-            }
-        } catch (IOException e) {
-            LOG.warn("event=accept_failed cause=\"{}\"", e.getMessage());
-            key.interestOps(0);
-            quay.after(100_000, () -> key.interestOps(SelectionKey.OP_ACCEPT));
+  @Override
+  public void ready(SelectionKey k) {
+    try {
+      for (int i = 0; i < 64; i++) {
+        SocketChannel c = server.accept();
+        if (c == null) {
+          return;
         }
-    }
-
-    private void makeRoom() {
-        for (Gangway g : gangways) {
-            if (g.idle()) {
-                g.close();
-                return;
-            }
+        if (gangways.size() >= maxConnections) {
+          makeRoom();
         }
+        gangways.add(new Gangway(quay, handler, this, c));
+      }
+    } catch (IOException e) {
+      LOG.warn("event=accept_failed cause=\"{}\"", e.getMessage());
+      key.interestOps(0);
+      quay.after(100_000, () -> key.interestOps(SelectionKey.OP_ACCEPT));
     }
+  }
 
-    private void check() {
-        long now = Quay.now();
-        new ArrayList<>(gangways).forEach(g -> g.check(now));
-        quay.after(CHECK, this::check);
+  private void makeRoom() {
+    for (Gangway g : gangways) {
+      if (g.idle()) {
+        g.close();
+        return;
+      }
     }
+  }
 
-    void left(Gangway g) {
-        gangways.remove(g);
-    }
+  private void check() {
+    long now = Quay.now();
+    new ArrayList<>(gangways).forEach(g -> g.check(now));
+    quay.after(CHECK, this::check);
+  }
 
-    public int open() {
-        return gangways.size();
-    }
+  void left(Gangway g) {
+    gangways.remove(g);
+  }
 
-    public boolean busy() {
-        for (Gangway g : gangways) {
-            if (g.busy()) {
-                return true;
-            }
-        }
-        return false;
+  public int open() {
+    return gangways.size();
+  }
+
+  public boolean busy() {
+    for (Gangway g : gangways) {
+      if (g.busy()) {
+        return true;
+      }
     }
+    return false;
+  }
 
-    public void closeIdle() {
-        for (Gangway g : new ArrayList<>(gangways)) {
-            if (g.idle()) {
-                g.close();
-            }
-        }
+  public void closeIdle() {
+    for (Gangway g : new ArrayList<>(gangways)) {
+      if (g.idle()) {
+        g.close();
+      }
     }
+  }
 }
--- a/src/main/java/org/otterpond/quay/Links.java
+++ b/src/main/java/org/otterpond/quay/Links.java
@@ -16,119 +16,129 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Connections between nodes. One connection serves both ways; messages are lost, whole, when it breaks. */
+/**
+ * Connections between nodes. One connection serves both ways; messages are lost, whole, when it
+ * breaks.
+ */
 public final class Links implements Mooring {
-    private static final Logger LOG = LoggerFactory.getLogger(Links.class);
-    private static final long CHECK = 300_000;
-    private static final long RECONNECT = 150_000;
+  private static final Logger LOG = LoggerFactory.getLogger(Links.class);
+  private static final long CHECK = 300_000;
+  private static final long RECONNECT = 150_000;
 
-    private final Quay quay;
-    private final String self;
-    private final BiConsumer<String, Flag> receiver;
-    private final Lost lost;
-    private long connections;
-    private final ServerSocketChannel server;
-    private final Map<String, Link> links = new HashMap<>();
-    private final List<Link> all = new ArrayList<>();
-    private final Map<String, Long> failedAt = new HashMap<>();
+  private final Quay quay;
+  private final String self;
+  private final BiConsumer<String, Flag> receiver;
+  private final Lost lost;
+  private long connections;
+  private final ServerSocketChannel server;
+  private final Map<String, Link> links = new HashMap<>();
+  private final List<Link> all = new ArrayList<>();
+  private final Map<String, Long> failedAt = new HashMap<>();
 
-    /** Told that a connection was closed from the other side, or never came up; it is named by its number. */
-    public interface Lost {
-        void lost(String address, boolean neverUp, long connection);
-    }
+  /**
+   * Told that a connection was closed from the other side, or never came up; it is named by its
+   * number.
+   */
+  public interface Lost {
+    void lost(String address, boolean neverUp, long connection);
+  }
 
-    public Links(Quay quay, String self, BiConsumer<String, Flag> receiver, Lost lost)
-            throws IOException {
-        this.lost = lost;
-        this.quay = quay;
-        this.self = self;
-        this.receiver = receiver;
-        server = ServerSocketChannel.open();
-        server.setOption(StandardSocketOptions.SO_REUSEADDR, true);
-        server.bind(address(self), 128);
-        quay.moor(server, SelectionKey.OP_ACCEPT, this);
-        quay.after(CHECK, this::check);
-    }
+  public Links(Quay quay, String self, BiConsumer<String, Flag> receiver, Lost lost)
+      throws IOException {
+    this.lost = lost;
+    this.quay = quay;
+    this.self = self;
+    this.receiver = receiver;
+    server = ServerSocketChannel.open();
+    server.setOption(StandardSocketOptions.SO_REUSEADDR, true);
+    server.bind(address(self), 128);
+    quay.moor(server, SelectionKey.OP_ACCEPT, this);
+    quay.after(CHECK, this::check);
+  }
 
-    public static InetSocketAddress address(String point) {
-        int colon = point.lastIndexOf(':');
-        return new InetSocketAddress(point.substring(0, colon), Integer.parseInt(point.substring(colon + 1)));
-    }
+  public static InetSocketAddress address(String point) {
+    int colon = point.lastIndexOf(':');
+    return new InetSocketAddress(
+        point.substring(0, colon), Integer.parseInt(point.substring(colon + 1)));
+  }
 
-    @Override
-    public void ready(SelectionKey key) {
-        try {
-            SocketChannel c;
-            while ((c = server.accept()) != null) {
-                all.add(new Link(quay, this, c, null));
-            }
-        } catch (IOException e) {
-            LOG.warn("event=link_accept_failed cause=\"{}\"", e.getMessage());
-        }
+  @Override
+  public void ready(SelectionKey key) {
+    try {
+      SocketChannel c;
+      while ((c = server.accept()) != null) {
+        all.add(new Link(quay, this, c, null));
+      }
+    } catch (IOException e) {
+      LOG.warn("event=link_accept_failed cause=\"{}\"", e.getMessage());
     }
+  }
 
-    /** The number of the connection that is used for an address; 0 if there is none, as it is too soon to dial again. */
-    public long connection(String to) {
-        Link l = links.get(to);
-        return l == null ? 0 : l.number;
-    }
+  /**
+   * The number of the connection that is used for an address; 0 if there is none, as it is too soon
+   * to dial again.
+   */
+  public long connection(String to) {
+    Link l = links.get(to);
+    return l == null ? 0 : l.number;
+  }
 
-    public void send(String to, Flag f) {
-        if (to.equals(self)) {
-            quay.execute(() -> receiver.accept(self, f));
-            return;
-        }
-        Link l = links.get(to);
-        if (l == null) {
-            Long failed = failedAt.get(to);
-            if (failed != null && Quay.now() - failed < RECONNECT) {
-                // Too soon to dial again: whoever waits for an answer must know that nothing went out.
-                quay.execute(() -> lost.lost(to, true, 0));
-                return;
-            }
-            try {
-                l = new Link(quay, this, SocketChannel.open(), to);
-                l.connect(address(to));
-            } catch (IOException | RuntimeException e) {
-                failedAt.put(to, Quay.now());
-                quay.execute(() -> lost.lost(to, true, 0));
-                return;
-            }
-            l.number = ++connections;
-            links.put(to, l);
-            all.add(l);
-            l.send(FlagCodec.encode(new Flag("link").with("addr", self)));
-        }
-        l.send(FlagCodec.encode(f));
+  public void send(String to, Flag f) {
+    if (to.equals(self)) {
+      quay.execute(() -> receiver.accept(self, f));
+      return;
     }
-
-    void received(Link from, Flag f) {
-        if (f.kind().equals("link")) {
-            from.peer(f.text("addr"));
-            from.number = ++connections;
-            links.put(f.text("addr"), from);
-            failedAt.remove(f.text("addr"));
-        } else if (from.peer() != null) {
-            receiver.accept(from.peer(), f);
-        }
+    Link l = links.get(to);
+    if (l == null) {
+      Long failed = failedAt.get(to);
+      if (failed != null && Quay.now() - failed < RECONNECT) {
+        // Too soon to dial again: whoever waits for an answer must know that nothing went out.
+        quay.execute(() -> lost.lost(to, true, 0));
+        return;
+      }
+      try {
+        l = new Link(quay, this, SocketChannel.open(), to);
+        l.connect(address(to));
+      } catch (IOException | RuntimeException e) {
+        failedAt.put(to, Quay.now());
+        quay.execute(() -> lost.lost(to, true, 0));
+        return;
+      }
+      l.number = ++connections;
+      links.put(to, l);
+      all.add(l);
+      l.send(FlagCodec.encode(new Flag("link").with("addr", self)));
     }
+    l.send(FlagCodec.encode(f));
+  }
 
-    void broken(Link l, boolean neverUp, boolean byPeer) {
-        all.remove(l);
-        if (l.peer() != null) {
-            boolean current = links.remove(l.peer(), l);
-            if (current && (byPeer || neverUp)) {
-                lost.lost(l.peer(), neverUp, l.number);
-            }
-            if (neverUp) {
-                failedAt.put(l.peer(), Quay.now());
-            }
-        }
+  void received(Link from, Flag f) {
+    if (f.kind().equals("link")) {
+      from.peer(f.text("addr"));
+      from.number = ++connections;
+      links.put(f.text("addr"), from);
+      failedAt.remove(f.text("addr"));
+    } else if (from.peer() != null) {
+      receiver.accept(from.peer(), f);
     }
+  }
 
-    private void check() {
-        long now = Quay.now();
-        new ArrayList<>(all).forEach(l -> l.check(now));
-        quay.after(CHECK, this::check);
+  void broken(Link l, boolean neverUp, boolean byPeer) {
+    all.remove(l);
+    if (l.peer() != null) {
+      boolean current = links.remove(l.peer(), l);
+      if (current && (byPeer || neverUp)) {
+        lost.lost(l.peer(), neverUp, l.number);
+      }
+      if (neverUp) {
+        failedAt.put(l.peer(), Quay.now());
+      }
     }
+  }
+
+  private void check() {
+    long now = Quay.now();
+    new ArrayList<>(all).forEach(l -> l.check(now));
+    quay.after(CHECK, this::check);
+  }
 }
--- a/src/main/java/org/otterpond/quay/Mooring.java
+++ b/src/main/java/org/otterpond/quay/Mooring.java
@@ -4,5 +4,5 @@
 
 /** What is told when a channel can go on. */
 public interface Mooring {
-    void ready(SelectionKey key);
+  void ready(SelectionKey key);
 }
--- a/src/main/java/org/otterpond/quay/Reception.java
+++ b/src/main/java/org/otterpond/quay/Reception.java
@@ -2,8 +2,11 @@
 
 /** Told how a request to a worker went. Exactly one of the two is called. */
 public interface Reception {
-    void answered(Missive response);
+  void answered(Missive response);
 
-    /** The worker gave no whole answer; {@code written} says whether any byte of the request may have reached it. */
-    void failed(boolean written, String why);
+  /**
+   * The worker gave no whole answer; {@code written} says whether any byte of the request may have
+   * reached it.
+   */
+  void failed(boolean written, String why);
 }
--- a/src/main/java/org/otterpond/quay/Tender.java
+++ b/src/main/java/org/otterpond/quay/Tender.java
@@ -9,197 +9,213 @@
 
 /** One connection to a worker; carries one request at a time. */
 public final class Tender implements Mooring {
-    private static final int MAX_ANSWER_HEAD = 64 * 1024;
-
-    private final Quay quay;
-    private final TenderPool pool;
-    private final SocketChannel channel;
-    private final SelectionKey key;
-    private final InBuffer in = new InBuffer();
-    private final OutBuffer out = new OutBuffer();
-    private final MissiveReader reader = new MissiveReader(in, false);
-
-    private boolean connected;
-    private boolean closed;
-    private Reception reception;
-    /** What the answer must bring back of the request in hand. */
-    private String echo;
-    private final RecentIds carried = new RecentIds();
-    private Quay.Timer connectTimer;
-    private long connectBy;
-    private long usableUntil;
-    private long idleSince;
-    private long writtenBefore;
-
-    Tender(Quay quay, TenderPool pool, InetSocketAddress to, long connectMicros) throws IOException {
-        this.quay = quay;
-        this.pool = pool;
-        channel = SocketChannel.open();
-        channel.setOption(StandardSocketOptions.TCP_NODELAY, true);
-        key = quay.moor(channel, SelectionKey.OP_CONNECT, this);
-        reader.limits(MAX_ANSWER_HEAD, pool.answerBound());
-        try {
-            channel.connect(to);
-        } catch (IOException | RuntimeException e) {
-            key.cancel();
-            channel.close();
-            throw new IOException("connect", e);
-        }
-        connectBy = Quay.now() + connectMicros;
-        connectTimer = quay.after(connectMicros, () -> {
-            if (!connected) {
+  private static final int MAX_ANSWER_HEAD = 64 * 1024;
+
+  private final Quay quay;
+  private final TenderPool pool;
+  private final SocketChannel channel;
+  private final SelectionKey key;
+  private final InBuffer in = new InBuffer();
+  private final OutBuffer out = new OutBuffer();
+  private final MissiveReader reader = new MissiveReader(in, false);
+
+  private boolean connected;
+  private boolean closed;
+  private Reception reception;
+
+  /** What the answer must bring back of the request in hand. */
+  private String echo;
+
+  private final RecentIds carried = new RecentIds();
+  private Quay.Timer connectTimer;
+  private long connectBy;
+  private long usableUntil;
+  private long idleSince;
+  private long writtenBefore;
+
+  Tender(Quay quay, TenderPool pool, InetSocketAddress to, long connectMicros) throws IOException {
+    this.quay = quay;
+    this.pool = pool;
+    channel = SocketChannel.open();
+    channel.setOption(StandardSocketOptions.TCP_NODELAY, true);
+    key = quay.moor(channel, SelectionKey.OP_CONNECT, this);
+    reader.limits(MAX_ANSWER_HEAD, pool.answerBound());
+    try {
+      channel.connect(to);
+    } catch (IOException | RuntimeException e) {
+      key.cancel();
+      channel.close();
+      throw new IOException("connect", e);
+    }
+    connectBy = Quay.now() + connectMicros;
+    connectTimer =
+        quay.after(
+            connectMicros,
+            () -> {
+              if (!connected) {
                 close("connect_timeout");
-            }
-        });
+              }
+            });
+  }
+
+  /**
+   * Whether an idle connection can carry another request: nothing came, and it is not about to be
+   * closed.
+   */
+  boolean usable(long now) {
+    if (closed || now >= usableUntil) {
+      return false;
     }
-
-    /** Whether an idle connection can carry another request: nothing came, and it is not about to be closed. */
-    boolean usable(long now) {
-        if (closed || now >= usableUntil) {
-            return false;
-        }
-        try {
-            return channel.read(quay.scratch()) == 0;
-        } catch (IOException e) {
-            return false;
-        }
+    try {
+      return channel.read(quay.scratch()) == 0;
+    } catch (IOException e) {
+      return false;
     }
-
-    /** Whether it carried a request of this id before, whose second answer might come late. */
-    boolean mayHaveCarried(String id) {
-        return carried.mayHold(id);
+  }
+
+  /** Whether it carried a request of this id before, whose second answer might come late. */
+  boolean mayHaveCarried(String id) {
+    return carried.mayHold(id);
+  }
+
+  long idleSince() {
+    return idleSince;
+  }
+
+  long usableUntil() {
+    return usableUntil;
+  }
+
+  void send(Missive request, Reception r) {
+    reception = r;
+    echo = request.first(pool.echoed());
+    carried.add(echo);
+    writtenBefore = out.written();
+    reader.expect(request.method().equals("HEAD"));
+    out.add(OutBuffer.encode(request, true, null));
+    if (connected) {
+      try {
+        flush();
+      } catch (IOException e) {
+        close("write_failed");
+      }
     }
-
-    long idleSince() {
-        return idleSince;
+  }
+
+  private void flush() throws IOException {
+    out.flush(channel, key, quay.scratch());
+  }
+
+  @Override
+  public void ready(SelectionKey k) {
+    try {
+      if (k.isConnectable()) {
+        channel.finishConnect();
+        if (Quay.now() > connectBy) {
+          // This process stood still meanwhile: what is sent now may have been given up elsewhere.
+          close("connect_timeout");
+          return;
+        }
+        connected = true;
+        connectTimer.cancel();
+        flush();
+        return;
+      }
+      if (k.isWritable()) {
+        flush();
+      }
+      if (k.isReadable()) {
+        read();
+      }
+    } catch (IOException e) {
+      close(e instanceof BadBytesException ? "garbled" : connected ? "reset" : "refused");
     }
-
-    long usableUntil() {
-        return usableUntil;
+  }
+
+  private void read() throws IOException {
+    ByteBuffer scratch = quay.scratch();
+    int n = channel.read(scratch);
+    if (reception == null) {
+      // An idle connection has nothing to say but that it ends.
+      close("idle_end");
+      return;
     }
-
-    void send(Missive request, Reception r) {
-        reception = r;
-        echo = request.first(pool.echoed());
-        carried.add(echo);
-        writtenBefore = out.written();
-        reader.expect(request.method().equals("HEAD"));
-        out.add(OutBuffer.encode(request, true, null));
-        if (connected) {
-            try {
-                flush();
-            } catch (IOException e) {
-                close("write_failed");
-            }
-        }
+    if (n > 0) {
+      scratch.flip();
+      in.put(scratch);
     }
-
-    private void flush() throws IOException {
-        out.flush(channel, key, quay.scratch());
+    Missive answer = reader.next(n < 0);
+    if (answer == null) {
+      if (n < 0) {
+        close("ended_early");
+      }
+      return;
     }
-
-    @Override
-    public void ready(SelectionKey k) {
-        try {
-            if (k.isConnectable()) {
-                channel.finishConnect();
-                if (Quay.now() > connectBy) {
-                    // This process stood still meanwhile: what is sent now may have been given up elsewhere.
-                    close("connect_timeout");
-                    return;
-                }
-                connected = true;
-                connectTimer.cancel();
-                flush();
-                return;
-            }
-            if (k.isWritable()) {
-                flush();
-            }
-            if (k.isReadable()) {
-                read();
-            }
-        } catch (IOException e) {
-            close(e instanceof BadBytesException ? "garbled" : connected ? "reset" : "refused");
-        }
+    if (!answer.carries(pool.echoed(), echo)) {
+      // An answer to something asked before, or to nobody: this connection can be believed no more.
+      close("foreign_answer");
+      return;
     }
-
-    private void read() throws IOException {
-        ByteBuffer scratch = quay.scratch();
-        int n = channel.read(scratch);
-        if (reception == null) {
-            // An idle connection has nothing to say but that it ends.
-            close("idle_end");
-            return;
-        }
-        if (n > 0) {
-            scratch.flip();
-            in.put(scratch);
-        }
-        Missive answer = reader.next(n < 0);
-        if (answer == null) {
-            if (n < 0) {
-                close("ended_early");
-            }
-            return;
-        }
-        if (!answer.carries(pool.echoed(), echo)) {
-            // An answer to something asked before, or to nobody: this connection can be believed no more.
-            close("foreign_answer");
-            return;
-        }
-        Reception r = reception;
-        reception = null;
-        boolean keep = n >= 0 && !answer.old() && !answer.holds("Connection", "close") && !in.hasData()
-                && out.isEmpty();
-        if (keep) {
-            in.trim();
-            idleSince = Quay.now();
-            usableUntil = idleSince + pool.idleSpan(answer);
-            pool.free(this);
-        } else {
-            close("done");
-        }
-        r.answered(answer);
+    Reception r = reception;
+    reception = null;
+    boolean keep =
+        n >= 0
+            && !answer.old()
+            && !answer.holds("Connection", "close")
+            && !in.hasData()
+            && out.isEmpty();
+    if (keep) {
+      in.trim();
+      idleSince = Quay.now();
+      usableUntil = idleSince + pool.idleSpan(answer);
+      pool.free(this);
+    } else {
+      close("done");
     }
-
-    /**
-     * Gives the request up and the connection with it.
-     *
-     * @return whether any byte of it may have reached the worker; what has not reached it by now never does
-     */
-    public boolean abandon() {
-        Sockets.discard(channel);
-        reception = null;
-        close("abandoned");
-        return anyWritten();
+    r.answered(answer);
+  }
+
+  /**
+   * Gives the request up and the connection with it.
+   *
+   * @return whether any byte of it may have reached the worker; what has not reached it by now
+   *     never does
+   */
+  public boolean abandon() {
+    Sockets.discard(channel);
+    reception = null;
+    close("abandoned");
+    return anyWritten();
+  }
+
+  /**
+   * The kernel has taken a byte of the request in hand. What it has taken may arrive, whatever
+   * happens here.
+   */
+  private boolean anyWritten() {
+    return out.written() > writtenBefore;
+  }
+
+  void close(String why) {
+    if (closed) {
+      return;
     }
-
-    /** The kernel has taken a byte of the request in hand. What it has taken may arrive, whatever happens here. */
-    private boolean anyWritten() {
-        return out.written() > writtenBefore;
+    closed = true;
+    if (connectTimer != null) {
+      connectTimer.cancel();
     }
-
-    void close(String why) {
-        if (closed) {
-            return;
-        }
-        closed = true;
-        if (connectTimer != null) {
-            connectTimer.cancel();
-        }
-        key.cancel();
-        Reception r = reception;
-        if (r != null) {
-            // What the worker has not got of the request by now must not reach it later.
-            Sockets.discard(channel);
-        } else {
-            Sockets.close(channel);
-        }
-        pool.left(this);
-        reception = null;
-        if (r != null) {
-            r.failed(anyWritten(), why);
-        }
+    key.cancel();
+    Reception r = reception;
+    if (r != null) {
+      // What the worker has not got of the request by now must not reach it later.
+      Sockets.discard(channel);
+    } else {
+      Sockets.close(channel);
+    }
+    pool.left(this);
+    reception = null;
+    if (r != null) {
+      r.failed(anyWritten(), why);
     }
+  }
 }
--- a/src/main/java/org/otterpond/replica/GroupHost.java
+++ b/src/main/java/org/otterpond/replica/GroupHost.java
@@ -6,22 +6,25 @@
 
 /** Everything a replica group may do to the world. */
 public interface GroupHost {
-    long now();
+  long now();
 
-    /** Sends to the machine of a member; it may be lost, never damaged. */
-    void send(String member, Flag message);
+  /** Sends to the machine of a member; it may be lost, never damaged. */
+  void send(String member, Flag message);
 
-    /** Appends a record; the answer is its place on the disk once it is durable, or below 0. */
-    void journal(Flag record, LongConsumer done);
+  /** Appends a record; the answer is its place on the disk once it is durable, or below 0. */
+  void journal(Flag record, LongConsumer done);
 
-    /** Runs later on the owner thread. */
-    void after(long delayMicros, Runnable task);
+  /** Runs later on the owner thread. */
+  void after(long delayMicros, Runnable task);
 
-    /** Proposes to the configuration manager; told what is in force then, or null if there was no clear answer. */
-    void propose(GroupView next, Consumer<GroupView> outcome);
+  /**
+   * Proposes to the configuration manager; told what is in force then, or null if there was no
+   * clear answer.
+   */
+  void propose(GroupView next, Consumer<GroupView> outcome);
 
-    /** Tells the manager that a wanted member could not be brought up to date. */
-    void candidateFailed(int group, String member);
+  /** Tells the manager that a wanted member could not be brought up to date. */
+  void candidateFailed(int group, String member);
 
-    void event(String line);
+  void event(String line);
 }
--- a/src/main/java/org/otterpond/replica/StateMachine.java
+++ b/src/main/java/org/otterpond/replica/StateMachine.java
@@ -3,26 +3,32 @@
 import java.util.function.Consumer;
 import org.otterpond.signal.Flag;
 
-/** What a replica group replicates. It sees committed entries only, in the order of their serial numbers. */
+/**
+ * What a replica group replicates. It sees committed entries only, in the order of their serial
+ * numbers.
+ */
 public interface StateMachine {
-    /**
-     * @param serial its serial number
-     * @param place where the entry stands on this disk
-     */
-    void apply(Flag entry, long serial, long place);
+  /**
+   * @param serial its serial number
+   * @param place where the entry stands on this disk
+   */
+  void apply(Flag entry, long serial, long place);
 
-    /** Forgets everything. */
-    void clear();
+  /** Forgets everything. */
+  void clear();
 
-    /** Hands out the state, piece by piece and then null; what is applied meanwhile may or may not be in it. */
-    void export(Consumer<Flag> piece);
+  /**
+   * Hands out the state, piece by piece and then null; what is applied meanwhile may or may not be
+   * in it.
+   */
+  void export(Consumer<Flag> piece);
 
-    /** Takes a piece of the state; one that is known already changes nothing. */
-    void load(Flag piece, long place);
+  /** Takes a piece of the state; one that is known already changes nothing. */
+  void load(Flag piece, long place);
 
-    /** This replica began or ceased to serve as primary. */
-    void serving(boolean is);
+  /** This replica began or ceased to serve as primary. */
+  void serving(boolean is);
 
-    /** Stops what is under way for a planned hand-over, and runs the task once nothing is. */
-    void quiesce(Runnable done);
+  /** Stops what is under way for a planned hand-over, and runs the task once nothing is. */
+  void quiesce(Runnable done);
 }
