--- a/src/main/java/org/otterpond/signal/Bale.java
+++ b/src/main/java/org/otterpond/signal/Bale.java
@@ -14,81 +14,85 @@
 
 /** What goes to many nodes alike, packed once: a text or a message, deflated. */
 public final class Bale {
-    private static final int MOST = 64 << 20;
-    private static final int BUFFER = 8 * 1024;
+  private static final int MOST = 64 << 20;
+  private static final int BUFFER = 8 * 1024;
 
-    private Bale() {}
+  private Bale() {}
 
-    /** Packed as it is encoded, and read as it is unpacked: the whole never stands in memory a second time. */
-    public static byte[] pack(Flag flag) {
-        return deflate(out -> FlagCodec.encode(flag, out));
-    }
+  /**
+   * Packed as it is encoded, and read as it is unpacked: the whole never stands in memory a second
+   * time.
+   */
+  public static byte[] pack(Flag flag) {
+    return deflate(out -> FlagCodec.encode(flag, out));
+  }
 
-    public static byte[] pack(String text) {
-        return deflate(out -> out.write(text.getBytes(StandardCharsets.UTF_8)));
-    }
+  public static byte[] pack(String text) {
+    return deflate(out -> out.write(text.getBytes(StandardCharsets.UTF_8)));
+  }
 
-    public static Flag unpack(byte[] bale) throws SignalException {
-        return FlagCodec.decode(bounded(bale));
-    }
+  public static Flag unpack(byte[] bale) throws SignalException {
+    return FlagCodec.decode(bounded(bale));
+  }
 
-    public static String unpackText(byte[] bale) throws SignalException {
-        try (InputStream in = bounded(bale)) {
-            return new String(in.readAllBytes(), StandardCharsets.UTF_8);
-        } catch (IOException e) {
-            throw new SignalException("unreadable bale", e);
-        }
+  public static String unpackText(byte[] bale) throws SignalException {
+    try (InputStream in = bounded(bale)) {
+      return new String(in.readAllBytes(), StandardCharsets.UTF_8);
+    } catch (IOException e) {
+      throw new SignalException("unreadable bale", e);
     }
+  }
 
-    private interface Writer {
-        void to(OutputStream out) throws IOException;
-    }
+  private interface Writer {
+    void to(OutputStream out) throws IOException;
+  }
 
-    private static byte[] deflate(Writer whole) {
-        ByteArrayOutputStream out = new ByteArrayOutputStream(1024);
-        Deflater deflater = new Deflater(Deflater.BEST_SPEED);
-        try (DeflaterOutputStream d = new DeflaterOutputStream(out, deflater, BUFFER)) {
-            whole.to(d);
-        } catch (IOException e) {
-            throw new IllegalStateException("in-memory packing failed", e);
-        } finally {
-            deflater.end();
-        }
-        return out.toByteArray();
+  private static byte[] deflate(Writer whole) {
+    ByteArrayOutputStream out = new ByteArrayOutputStream(1024);
+    Deflater deflater = new Deflater(Deflater.BEST_SPEED);
+    try (DeflaterOutputStream d = new DeflaterOutputStream(out, deflater, BUFFER)) {
+      whole.to(d);
+    } catch (IOException e) {
+      throw new IllegalStateException("in-memory packing failed", e);
+    } finally {
+      deflater.end();
     }
+    return out.toByteArray();
+  }
 
-    /** What is in a bale, up to a bound: a small bale may hold much. */
-    private static InputStream bounded(byte[] bale) {
-        Inflater inflater = new Inflater();
-        return new FilterInputStream(new InflaterInputStream(new ByteArrayInputStream(bale), inflater, BUFFER)) {
-            private long left = MOST;
+  /** What is in a bale, up to a bound: a small bale may hold much. */
+  private static InputStream bounded(byte[] bale) {
+    Inflater inflater = new Inflater();
+    return new FilterInputStream(
+        new InflaterInputStream(new ByteArrayInputStream(bale), inflater, BUFFER)) {
+      private long left = MOST;
 
-            @Override
-            public void close() throws IOException {
-                super.close();
-                inflater.end();
-            }
+      @Override
+      public void close() throws IOException {
+        super.close();
+        inflater.end();
+      }
 
-            @Override
-            public int read() throws IOException {
-                int b = super.read();
-                count(b < 0 ? 0 : 1);
-                return b;
-            }
+      @Override
+      public int read() throws IOException {
+        int b = super.read();
+        count(b < 0 ? 0 : 1);
+        return b;
+      }
 
-            @Override
-            public int read(byte[] to, int offset, int length) throws IOException {
-                int n = super.read(to, offset, length);
-                count(Math.max(0, n));
-                return n;
-            }
+      @Override
+      public int read(byte[] to, int offset, int length) throws IOException {
+        int n = super.read(to, offset, length);
+        count(Math.max(0, n));
+        return n;
+      }
 
-            private void count(int n) throws IOException {
-                left -= n;
-                if (left < 0) {
-                    throw new IOException("a bale of more than " + MOST + " bytes");
-                }
-            }
-        };
-    }
+      private void count(int n) throws IOException {
+        left -= n;
+        if (left < 0) {
+          throw new IOException("a bale of more than " + MOST + " bytes");
+        }
+      }
+    };
+  }
 }
--- a/src/main/java/org/otterpond/signal/FlagCodec.java
+++ b/src/main/java/org/otterpond/signal/FlagCodec.java
@@ -15,123 +15,125 @@
 
 /** Messages to CBOR and back, by Jackson's streaming layer. */
 public final class FlagCodec {
-    private static final CBORFactory FACTORY = new CBORFactory();
+  private static final CBORFactory FACTORY = new CBORFactory();
 
-    private FlagCodec() {}
+  private FlagCodec() {}
 
-    public static byte[] encode(Flag flag) {
-        ByteArrayOutputStream out = new ByteArrayOutputStream(256);
-        try {
-            encode(flag, out);
-        } catch (IOException e) {
-            throw new IllegalStateException("in-memory encoding failed", e);
-        }
-        return out.toByteArray();
+  public static byte[] encode(Flag flag) {
+    ByteArrayOutputStream out = new ByteArrayOutputStream(256);
+    try {
+      encode(flag, out);
+    } catch (IOException e) {
+      throw new IllegalStateException("in-memory encoding failed", e);
     }
+    return out.toByteArray();
+  }
 
-    static void encode(Flag flag, OutputStream out) throws IOException {
-        try (JsonGenerator g = FACTORY.createGenerator(out)) {
-            write(g, flag.asMap());
-        }
+  static void encode(Flag flag, OutputStream out) throws IOException {
+    try (JsonGenerator g = FACTORY.createGenerator(out)) {
+      write(g, flag.asMap());
     }
+  }
 
-    public static Flag decode(byte[] bytes, int offset, int length) throws SignalException {
-        try (JsonParser p = FACTORY.createParser(bytes, offset, length)) {
-            return decode(p);
-        } catch (IOException e) {
-            throw new SignalException("unreadable message", e);
-        }
+  public static Flag decode(byte[] bytes, int offset, int length) throws SignalException {
+    try (JsonParser p = FACTORY.createParser(bytes, offset, length)) {
+      return decode(p);
+    } catch (IOException e) {
+      throw new SignalException("unreadable message", e);
     }
+  }
 
-    static Flag decode(InputStream in) throws SignalException {
-        try (JsonParser p = FACTORY.createParser(in)) {
-            return decode(p);
-        } catch (IOException e) {
-            throw new SignalException("unreadable message", e);
-        }
+  static Flag decode(InputStream in) throws SignalException {
+    try (JsonParser p = FACTORY.createParser(in)) {
+      return decode(p);
+    } catch (IOException e) {
+      throw new SignalException("unreadable message", e);
     }
+  }
 
-    @SuppressWarnings("unchecked")
-    private static Flag decode(JsonParser p) throws IOException, SignalException {
-        p.nextToken();
-        Object v = read(p);
-        if (!(v instanceof Map)) {
-            throw new SignalException("a message is a map", null);
-        }
-        return Flag.fromMap((Map<String, Object>) v);
+  @SuppressWarnings("unchecked")
+  private static Flag decode(JsonParser p) throws IOException, SignalException {
+    p.nextToken();
+    Object v = read(p);
+    if (!(v instanceof Map)) {
+      throw new SignalException("a message is a map", null);
     }
+    return Flag.fromMap((Map<String, Object>) v);
+  }
 
-    private static void write(JsonGenerator g, Object v) throws IOException {
-        if (v == null) {
-            g.writeNull();
-        } else if (v instanceof String s) {
-            g.writeString(s);
-        } else if (v instanceof Integer || v instanceof Long) {
-            g.writeNumber(((Number) v).longValue());
-        } else if (v instanceof Double d) {
-            g.writeNumber(d);
-        } else if (v instanceof Boolean b) {
-            g.writeBoolean(b);
-        } else if (v instanceof byte[] b) {
-            g.writeBinary(b);
-        } else if (v instanceof Flag f) {
-            write(g, f.asMap());
-        } else if (v instanceof Map<?, ?> m) {
-            g.writeStartObject();
-            for (Map.Entry<?, ?> e : m.entrySet()) {
-                g.writeFieldName(String.valueOf(e.getKey()));
-                write(g, e.getValue());
-            }
-            g.writeEndObject();
-        } else if (v instanceof Iterable<?> it) {
-            g.writeStartArray();
-            for (Object o : it) {
-                write(g, o);
-            }
-            g.writeEndArray();
-        } else {
-            throw new IOException("no encoding for " + v.getClass());
-        }
+  private static void write(JsonGenerator g, Object v) throws IOException {
+    if (v == null) {
+      g.writeNull();
+    } else if (v instanceof String s) {
+      g.writeString(s);
+    } else if (v instanceof Integer || v instanceof Long) {
+      g.writeNumber(((Number) v).longValue());
+    } else if (v instanceof Double d) {
+      g.writeNumber(d);
+    } else if (v instanceof Boolean b) {
+      g.writeBoolean(b);
+    } else if (v instanceof byte[] b) {
+      g.writeBinary(b);
+    } else if (v instanceof Flag f) {
+      write(g, f.asMap());
+    } else if (v instanceof Map<?, ?> m) {
+      g.writeStartObject();
+      for (Map.Entry<?, ?> e : m.entrySet()) {
+        g.writeFieldName(String.valueOf(e.getKey()));
+        write(g, e.getValue());
+      }
+      g.writeEndObject();
+    } else if (v instanceof Iterable<?> it) {
+      g.writeStartArray();
+      for (Object o : it) {
+        write(g, o);
+      }
+      g.writeEndArray();
+    } else {
+      throw new IOException("no encoding for " + v.getClass());
     }
+  }
 
-    private static Object read(JsonParser p) throws IOException {
-        JsonToken t = p.currentToken();
-        if (t == null) {
-            throw new IOException("message ends early");
+  private static Object read(JsonParser p) throws IOException {
+    JsonToken t = p.currentToken();
+    if (t == null) {
+      throw new IOException("message ends early");
+    }
+    switch (t) {
+      case VALUE_STRING:
+        return p.getText();
+      case VALUE_NUMBER_INT:
+        return p.getLongValue();
+      case VALUE_NUMBER_FLOAT:
+        return p.getDoubleValue();
+      case VALUE_TRUE:
+        return Boolean.TRUE;
+      case VALUE_FALSE:
+        return Boolean.FALSE;
+      case VALUE_NULL:
+        return null;
+      case VALUE_EMBEDDED_OBJECT:
+        return p.getBinaryValue();
+      case START_ARRAY:
+        {
+          List<Object> list = new ArrayList<>();
+          while (p.nextToken() != JsonToken.END_ARRAY) {
+            list.add(read(p));
+          }
+          return list;
         }
-        switch (t) {
-            case VALUE_STRING:
-                return p.getText();
-            case VALUE_NUMBER_INT:
-                return p.getLongValue();
-            case VALUE_NUMBER_FLOAT:
-                return p.getDoubleValue();
-            case VALUE_TRUE:
-                return Boolean.TRUE;
-            case VALUE_FALSE:
-                return Boolean.FALSE;
-            case VALUE_NULL:
-                return null;
-            case VALUE_EMBEDDED_OBJECT:
-                return p.getBinaryValue();
-            case START_ARRAY: {
-                List<Object> list = new ArrayList<>();
-                while (p.nextToken() != JsonToken.END_ARRAY) {
-                    list.add(read(p));
-                }
-                return list;
-            }
-            case START_OBJECT: {
-                Map<String, Object> map = new LinkedHashMap<>();
-                while (p.nextToken() != JsonToken.END_OBJECT) {
-                    String name = p.currentName();
-                    p.nextToken();
-                    map.put(name, read(p));
-                }
-                return map;
-            }
-            default:
-                throw new IOException("unexpected token " + t);
+      case START_OBJECT:
+        {
+          Map<String, Object> map = new LinkedHashMap<>();
+          while (p.nextToken() != JsonToken.END_OBJECT) {
+            String name = p.currentName();
+            p.nextToken();
+            map.put(name, read(p));
+          }
+          return map;
         }
+      default:
+        throw new IOException("unexpected token " + t);
     }
+  }
 }
--- a/src/main/java/org/otterpond/sim/SimCourier.java
+++ b/src/main/java/org/otterpond/sim/SimCourier.java
@@ -10,96 +10,112 @@
 import org.otterpond.message.Message;
 import org.otterpond.message.MessageQueue;
 
-/** Delivers to workers who succeed mostly, fail at times, and whose answers are lost now and then. */
+/**
+ * Delivers to workers who succeed mostly, fail at times, and whose answers are lost now and then.
+ */
 final class SimCourier implements Courier {
-    private static final int MOST_ATTEMPTS = 3;
+  private static final int MOST_ATTEMPTS = 3;
 
-    private final SimWorld world;
-    private final MessageChecker checker;
-    private final Consumer<Runnable> perform;
-    Depot depot;
-    private final Map<MessageQueue, Integer> underWay = new HashMap<>();
-    private final Map<MessageQueue, Runnable> quieting = new HashMap<>();
-    private final Set<Message> waiting = new HashSet<>();
+  private final SimWorld world;
+  private final MessageChecker checker;
+  private final Consumer<Runnable> perform;
+  Depot depot;
+  private final Map<MessageQueue, Integer> underWay = new HashMap<>();
+  private final Map<MessageQueue, Runnable> quieting = new HashMap<>();
+  private final Set<Message> waiting = new HashSet<>();
 
-    SimCourier(SimWorld world, MessageChecker checker, Consumer<Runnable> perform) {
-        this.world = world;
-        this.checker = checker;
-        this.perform = perform;
-    }
+  SimCourier(SimWorld world, MessageChecker checker, Consumer<Runnable> perform) {
+    this.world = world;
+    this.checker = checker;
+    this.perform = perform;
+  }
 
-    @Override
-    public void ready(MessageQueue queue, Message m) {
-        waiting.add(m);
-        world.at(500 + world.random.nextInt(3_000), () -> perform.accept(() -> {
-            if (waiting.remove(m)) {
-                send(queue, m);
-            }
-        }));
-    }
+  @Override
+  public void ready(MessageQueue queue, Message m) {
+    waiting.add(m);
+    world.at(
+        500 + world.random.nextInt(3_000),
+        () ->
+            perform.accept(
+                () -> {
+                  if (waiting.remove(m)) {
+                    send(queue, m);
+                  }
+                }));
+  }
 
-    private void send(MessageQueue queue, Message m) {
-        if (!queue.serving()) {
-            queue.later(m, 0);
+  private void send(MessageQueue queue, Message m) {
+    if (!queue.serving()) {
+      queue.later(m, 0);
+      return;
+    }
+    underWay.merge(queue, 1, Integer::sum);
+    queue.whole(
+        m,
+        whole -> {
+          if (whole == null) {
+            checker.breach("bytes of " + m.id() + " cannot be read");
             return;
-        }
-        underWay.merge(queue, 1, Integer::sum);
-        queue.whole(m, whole -> {
-            if (whole == null) {
-                checker.breach("bytes of " + m.id() + " cannot be read");
-                return;
-            }
-            int draw = world.random.nextInt(100);
-            long run = 5_000 + world.random.nextInt(40_000);
-            world.at(300, () -> {
+          }
+          int draw = world.random.nextInt(100);
+          long run = 5_000 + world.random.nextInt(40_000);
+          world.at(
+              300,
+              () -> {
                 checker.began(m.id());
-                world.at(run, () -> {
-                    boolean success = draw < 88;
-                    if (success) {
+                world.at(
+                    run,
+                    () -> {
+                      boolean success = draw < 88;
+                      if (success) {
                         checker.succeeded(m.id(), "seal-" + m.id() + "-" + run);
-                    } else if (draw < 90) {
+                      } else if (draw < 90) {
                         checker.refusedForGood(m.id());
-                    } else if (draw < 96) {
+                      } else if (draw < 96) {
                         checker.failed(m.id(), MOST_ATTEMPTS);
-                    }
-                    world.at(300, () -> perform.accept(() -> told(queue, m, draw, "seal-" + m.id() + "-" + run)));
-                });
-            });
+                      }
+                      world.at(
+                          300,
+                          () ->
+                              perform.accept(
+                                  () -> told(queue, m, draw, "seal-" + m.id() + "-" + run)));
+                    });
+              });
         });
-    }
+  }
 
-    private void told(MessageQueue queue, Message m, int draw, String seal) {
-        if (draw < 85) {
-            checker.read(m.id());
-            depot.ended(queue, m, Message.State.COMPLETED, seal);
-        } else if (draw >= 88 && draw < 90) {
-            depot.ended(queue, m, Message.State.DEAD_LETTER, null);
-        } else if (draw >= 90 && draw < 96) {
-            depot.tried(queue, m);
-            if (m.attempts() >= MOST_ATTEMPTS) {
-                depot.ended(queue, m, Message.State.DEAD_LETTER, null);
-            } else {
-                queue.later(m, 20_000);
-            }
-        } else {
-            // Silence: it may have run.
-            queue.later(m, 50_000);
-        }
-        if (underWay.merge(queue, -1, Integer::sum) == 0) {
-            underWay.remove(queue);
-            Runnable quiet = quieting.remove(queue);
-            if (quiet != null) {
-                quiet.run();
-            }
-        }
+  private void told(MessageQueue queue, Message m, int draw, String seal) {
+    if (draw < 85) {
+      checker.read(m.id());
+      depot.ended(queue, m, Message.State.COMPLETED, seal);
+    } else if (draw >= 88 && draw < 90) {
+      depot.ended(queue, m, Message.State.DEAD_LETTER, null);
+    } else if (draw >= 90 && draw < 96) {
+      depot.tried(queue, m);
+      if (m.attempts() >= MOST_ATTEMPTS) {
+        depot.ended(queue, m, Message.State.DEAD_LETTER, null);
+      } else {
+        queue.later(m, 20_000);
+      }
+    } else {
+      // Silence: it may have run.
+      queue.later(m, 50_000);
+    }
+    if (underWay.merge(queue, -1, Integer::sum) == 0) {
+      underWay.remove(queue);
+      Runnable quiet = quieting.remove(queue);
+      if (quiet != null) {
+        quiet.run();
+      }
     }
+  }
 
-    @Override
-    public void stop(MessageQueue queue, Runnable quiet) {
-        if (underWay.containsKey(queue)) {
-            quieting.put(queue, quiet);
-        } else {
-            quiet.run();
-        }
+  @Override
+  public void stop(MessageQueue queue, Runnable quiet) {
+    if (underWay.containsKey(queue)) {
+      quieting.put(queue, quiet);
+    } else {
+      quiet.run();
     }
+  }
 }
--- a/src/main/java/org/otterpond/sim/SimStoreDisk.java
+++ b/src/main/java/org/otterpond/sim/SimStoreDisk.java
@@ -10,103 +10,110 @@
 import org.otterpond.signal.FlagCodec;
 import org.otterpond.signal.SignalException;
 
-/** The disk of a storage machine: what was synced stays, of the rest some head may stay after a loss of power. */
+/**
+ * The disk of a storage machine: what was synced stays, of the rest some head may stay after a loss
+ * of power.
+ */
 final class SimStoreDisk {
-    private final SimWorld world;
-    String id;
-    /** A deliberate fault: answers before anything is safe. */
-    boolean lying;
-    private final TreeMap<Long, byte[]> records = new TreeMap<>();
-    private long next;
-    private long durable;
-    private int generation;
-    private long busyUntil;
-
-    SimStoreDisk(SimWorld world) {
-        this.world = world;
-        wipe();
-    }
+  private final SimWorld world;
+  String id;
 
-    void wipe() {
-        records.clear();
-        next = 0;
-        durable = 0;
-        generation++;
-        id = "s" + Long.toHexString(world.random.nextLong() >>> 1);
-    }
+  /** A deliberate fault: answers before anything is safe. */
+  boolean lying;
 
-    void losePower() {
-        long keep = durable + (next > durable ? world.random.nextInt((int) (next - durable) + 1) : 0);
-        if (lying) {
-            keep = durable;
-        }
-        records.tailMap(keep, true).clear();
-        next = keep;
-        durable = keep;
-        generation++;
-    }
+  private final TreeMap<Long, byte[]> records = new TreeMap<>();
+  private long next;
+  private long durable;
+  private int generation;
+  private long busyUntil;
 
-    void processDied() {
-        durable = lying ? durable : next;
-        generation++;
-    }
+  SimStoreDisk(SimWorld world) {
+    this.world = world;
+    wipe();
+  }
 
-    Map<Long, Flag> read() {
-        Map<Long, Flag> out = new LinkedHashMap<>();
-        records.forEach((place, b) -> out.put(place, decode(b)));
-        return out;
-    }
+  void wipe() {
+    records.clear();
+    next = 0;
+    durable = 0;
+    generation++;
+    id = "s" + Long.toHexString(world.random.nextLong() >>> 1);
+  }
 
-    private static Flag decode(byte[] b) {
-        try {
-            return FlagCodec.decode(b, 0, b.length);
-        } catch (SignalException e) {
-            throw new IllegalStateException(e);
-        }
+  void losePower() {
+    long keep = durable + (next > durable ? world.random.nextInt((int) (next - durable) + 1) : 0);
+    if (lying) {
+      keep = durable;
     }
+    records.tailMap(keep, true).clear();
+    next = keep;
+    durable = keep;
+    generation++;
+  }
+
+  void processDied() {
+    durable = lying ? durable : next;
+    generation++;
+  }
+
+  Map<Long, Flag> read() {
+    Map<Long, Flag> out = new LinkedHashMap<>();
+    records.forEach((place, b) -> out.put(place, decode(b)));
+    return out;
+  }
 
-    /** As one life of a process sees it. */
-    StoreDisk attached(Consumer<Runnable> perform) {
-        return new StoreDisk() {
-            @Override
-            public void append(Flag record, LongConsumer done) {
-                int g = generation;
-                long place = next++;
-                records.put(place, FlagCodec.encode(record));
-                busyUntil = Math.max(busyUntil, world.now()) + 100;
-                world.at(lying ? 100 : busyUntil - world.now() + 800, () -> {
-                    if (g == generation) {
-                        durable = lying ? durable : Math.max(durable, place + 1);
-                        perform.accept(() -> done.accept(place));
-                    }
-                });
-            }
-
-            @Override
-            public void read(long place, Consumer<Flag> use) {
-                byte[] b = records.get(place);
-                world.at(500, () -> perform.accept(() -> use.accept(b == null ? null : decode(b))));
-            }
-
-            @Override
-            public boolean nearlyFull() {
-                return false;
-            }
-
-            @Override
-            public boolean oldestClosedFor(long micros) {
-                return false;
-            }
-
-            @Override
-            public long oldestEnd() {
-                return 0;
-            }
-
-            @Override
-            public void dropOldest() {
-                throw new IllegalStateException("one segment only");
-            }
-        };
+  private static Flag decode(byte[] b) {
+    try {
+      return FlagCodec.decode(b, 0, b.length);
+    } catch (SignalException e) {
+      throw new IllegalStateException(e);
     }
+  }
+
+  /** As one life of a process sees it. */
+  StoreDisk attached(Consumer<Runnable> perform) {
+    return new StoreDisk() {
+      @Override
+      public void append(Flag record, LongConsumer done) {
+        int g = generation;
+        long place = next++;
+        records.put(place, FlagCodec.encode(record));
+        busyUntil = Math.max(busyUntil, world.now()) + 100;
+        world.at(
+            lying ? 100 : busyUntil - world.now() + 800,
+            () -> {
+              if (g == generation) {
+                durable = lying ? durable : Math.max(durable, place + 1);
+                perform.accept(() -> done.accept(place));
+              }
+            });
+      }
+
+      @Override
+      public void read(long place, Consumer<Flag> use) {
+        byte[] b = records.get(place);
+        world.at(500, () -> perform.accept(() -> use.accept(b == null ? null : decode(b))));
+      }
+
+      @Override
+      public boolean nearlyFull() {
+        return false;
+      }
+
+      @Override
+      public boolean oldestClosedFor(long micros) {
+        return false;
+      }
+
+      @Override
+      public long oldestEnd() {
+        return 0;
+      }
+
+      @Override
+      public void dropOldest() {
+        throw new IllegalStateException("one segment only");
+      }
+    };
+  }
 }
--- a/src/test/java/org/otterpond/cargo/HullTest.java
+++ b/src/test/java/org/otterpond/cargo/HullTest.java
@@ -6,49 +6,52 @@
 
 import org.junit.jupiter.api.Test;
 
-/** When a worker that answers nothing is tried last: that follows from how long its service usually takes. */
+/**
+ * When a worker that answers nothing is tried last: that follows from how long its service usually
+ * takes.
+ */
 class HullTest {
-    private static final long MS = 1_000;
+  private static final long MS = 1_000;
 
-    private static Pace paceOf(long micros) {
-        Pace p = new Pace();
-        for (int i = 0; i < 100; i++) {
-            p.answered(micros);
-        }
-        return p;
+  private static Pace paceOf(long micros) {
+    Pace p = new Pace();
+    for (int i = 0; i < 100; i++) {
+      p.answered(micros);
     }
+    return p;
+  }
 
-    @Test
-    void oneLongRequestOfASlowServiceIsNoSuspicion() {
-        Hull h = new Hull(null, null, paceOf(600 * MS));
-        h.took(0);
-        assertFalse(h.suspect(2_000 * MS));
-        assertTrue(h.suspect(2_500 * MS));
-        Hull quick = new Hull(null, null, paceOf(20 * MS));
-        quick.took(0);
-        assertFalse(quick.suspect(300 * MS));
-        assertTrue(quick.suspect(400 * MS));
-    }
+  @Test
+  void oneLongRequestOfASlowServiceIsNoSuspicion() {
+    Hull h = new Hull(null, null, paceOf(600 * MS));
+    h.took(0);
+    assertFalse(h.suspect(2_000 * MS));
+    assertTrue(h.suspect(2_500 * MS));
+    Hull quick = new Hull(null, null, paceOf(20 * MS));
+    quick.took(0);
+    assertFalse(quick.suspect(300 * MS));
+    assertTrue(quick.suspect(400 * MS));
+  }
 
-    @Test
-    void severalUnansweredRequestsSayMoreThanOne() {
-        Hull h = new Hull(null, null, paceOf(600 * MS));
-        for (int i = 0; i < 5; i++) {
-            h.took(0);
-        }
-        assertFalse(h.suspect(400 * MS));
-        assertTrue(h.suspect(500 * MS));
-        h.released(500 * MS);
-        h.worked(500 * MS);
-        assertFalse(h.suspect(900 * MS), "it has just answered");
+  @Test
+  void severalUnansweredRequestsSayMoreThanOne() {
+    Hull h = new Hull(null, null, paceOf(600 * MS));
+    for (int i = 0; i < 5; i++) {
+      h.took(0);
     }
+    assertFalse(h.suspect(400 * MS));
+    assertTrue(h.suspect(500 * MS));
+    h.released(500 * MS);
+    h.worked(500 * MS);
+    assertFalse(h.suspect(900 * MS), "it has just answered");
+  }
 
-    @Test
-    void aFewSlowAnswersDoNotPassForTheUsual() {
-        Pace p = paceOf(100 * MS);
-        for (int i = 0; i < 64; i++) {
-            p.answered(i % 5 == 0 ? 2_000 * MS : 100 * MS);
-        }
-        assertEquals(125 * MS, p.usual(), 40 * MS);
+  @Test
+  void aFewSlowAnswersDoNotPassForTheUsual() {
+    Pace p = paceOf(100 * MS);
+    for (int i = 0; i < 64; i++) {
+      p.answered(i % 5 == 0 ? 2_000 * MS : 100 * MS);
     }
+    assertEquals(125 * MS, p.usual(), 40 * MS);
+  }
 }
--- a/src/test/java/org/otterpond/harbour/ChandleryTest.java
+++ b/src/test/java/org/otterpond/harbour/ChandleryTest.java
@@ -14,118 +14,132 @@
 
 /** The owner's accounts against nodes that lose answers, hoard, expire and give back. */
 class ChandleryTest {
-    private static final QuotaTerms TERMS = new QuotaTerms(5_000_000, 0.1, 20, 2_000_000);
-    private static final double RATE = 40;
-    private static final double BURST = 30;
+  private static final QuotaTerms TERMS = new QuotaTerms(5_000_000, 0.1, 20, 2_000_000);
+  private static final double RATE = 40;
+  private static final double BURST = 30;
 
-    /** A node that keeps its tokens as the real one does: the oldest first, none longer than it may. */
-    private static final class Hoarder {
-        final long life;
-        final ArrayDeque<long[]> lots = new ArrayDeque<>();
-        long used;
-        long returned;
+  /**
+   * A node that keeps its tokens as the real one does: the oldest first, none longer than it may.
+   */
+  private static final class Hoarder {
+    final long life;
+    final ArrayDeque<long[]> lots = new ArrayDeque<>();
+    long used;
+    long returned;
 
-        Hoarder(long life) {
-            this.life = life;
-        }
+    Hoarder(long life) {
+      this.life = life;
+    }
 
-        void prune(long now) {
-            while (!lots.isEmpty() && lots.peekFirst()[0] <= now) {
-                used += lots.pollFirst()[1];
-            }
-        }
+    void prune(long now) {
+      while (!lots.isEmpty() && lots.peekFirst()[0] <= now) {
+        used += lots.pollFirst()[1];
+      }
+    }
 
-        int held(long now) {
-            prune(now);
-            return lots.stream().mapToInt(l -> (int) l[1]).sum();
-        }
+    int held(long now) {
+      prune(now);
+      return lots.stream().mapToInt(l -> (int) l[1]).sum();
+    }
 
-        int spend(long now, int most) {
-            prune(now);
-            int n = 0;
-            while (n < most && !lots.isEmpty()) {
-                if (--lots.peekFirst()[1] == 0) {
-                    lots.pollFirst();
-                }
-                n++;
-            }
-            used += n;
-            return n;
+    int spend(long now, int most) {
+      prune(now);
+      int n = 0;
+      while (n < most && !lots.isEmpty()) {
+        if (--lots.peekFirst()[1] == 0) {
+          lots.pollFirst();
         }
+        n++;
+      }
+      used += n;
+      return n;
     }
+  }
 
-    private static Chandlery owner(long now) throws ChartException {
-        Chandlery c = new Chandlery(TERMS);
-        c.configured(ConfigurationReader.read(Fields.parse("{\"revision\":1,\"route_table\":[],\"service_table\":[],"
-                + "\"subscribers\":[{\"name\":\"t\",\"access_keys\":[\"k\"],\"rate_per_s\":" + RATE
-                + ",\"burst_size\":" + BURST + "}]}")), now);
-        return c;
-    }
+  private static Chandlery owner(long now) throws ChartException {
+    Chandlery c = new Chandlery(TERMS);
+    c.configured(
+        ConfigurationReader.read(
+            Fields.parse(
+                "{\"revision\":1,\"route_table\":[],\"service_table\":[],"
+                    + "\"subscribers\":[{\"name\":\"t\",\"access_keys\":[\"k\"],\"rate_per_s\":"
+                    + RATE
+                    + ",\"burst_size\":"
+                    + BURST
+                    + "}]}")),
+        now);
+    return c;
+  }
 
-    @Test
-    void whatIsOutNeverExceedsTheOwnersPartAndWindowsHold() throws ChartException {
-        for (long seed = 1; seed <= 20; seed++) {
-            Random random = new Random(seed);
-            Chandlery owner = owner(0);
-            List<Hoarder> nodes = new ArrayList<>();
-            for (int i = 0; i < 8; i++) {
-                nodes.add(new Hoarder(i));
-            }
-            List<Long> runs = new ArrayList<>();
-            int most = TERMS.mostOut(RATE, BURST);
-            int highest = 0;
-            for (long now = 0; now < 30_000_000; now += 1_000 + random.nextInt(4_000)) {
-                Hoarder n = nodes.get(random.nextInt(nodes.size()));
-                n.prune(now);
-                Chandlery.Lent lent = owner.lend("t", n.life, n.used, n.returned, 1 + random.nextInt(3),
-                        random.nextInt(3), now);
-                // One answer in ten is lost, and a node may be slow to take one in: it counts from when it asked.
-                if (lent.count() > 0 && random.nextInt(10) > 0) {
-                    n.lots.addLast(new long[] {now - random.nextInt(20_000) + TERMS.lentMicros(), lent.count()});
-                }
-                // Some hoard for seconds, then spend all at once.
-                if (random.nextInt(now % 7_000_000 < 3_000_000 ? 40 : 3) == 0) {
-                    for (int k = n.spend(now, 100); k > 0; k--) {
-                        runs.add(now);
-                    }
-                }
-                int out = 0;
-                for (Hoarder h : nodes) {
-                    out += h.held(now);
-                }
-                highest = Math.max(highest, out);
-                assertTrue(out <= most, "seed " + seed + ": " + out + " tokens unspent, the owner's part is " + most);
-            }
-            assertTrue(highest > most / 2, "the bound was never near: " + highest + " of " + most);
-            assertTrue(runs.size() > 3 * RATE, "though nodes hoard, much is used: " + runs.size());
-            int from = 0;
-            for (int to = 0; to < runs.size(); to++) {
-                while (runs.get(to) - runs.get(from) > 5_000_000) {
-                    from++;
-                }
-                assertTrue(to - from + 1 <= RATE * 5 + BURST + most, "window of " + (to - from + 1));
-            }
+  @Test
+  void whatIsOutNeverExceedsTheOwnersPartAndWindowsHold() throws ChartException {
+    for (long seed = 1; seed <= 20; seed++) {
+      Random random = new Random(seed);
+      Chandlery owner = owner(0);
+      List<Hoarder> nodes = new ArrayList<>();
+      for (int i = 0; i < 8; i++) {
+        nodes.add(new Hoarder(i));
+      }
+      List<Long> runs = new ArrayList<>();
+      int most = TERMS.mostOut(RATE, BURST);
+      int highest = 0;
+      for (long now = 0; now < 30_000_000; now += 1_000 + random.nextInt(4_000)) {
+        Hoarder n = nodes.get(random.nextInt(nodes.size()));
+        n.prune(now);
+        Chandlery.Lent lent =
+            owner.lend(
+                "t", n.life, n.used, n.returned, 1 + random.nextInt(3), random.nextInt(3), now);
+        // One answer in ten is lost, and a node may be slow to take one in: it counts from when it
+        // asked.
+        if (lent.count() > 0 && random.nextInt(10) > 0) {
+          n.lots.addLast(
+              new long[] {now - random.nextInt(20_000) + TERMS.lentMicros(), lent.count()});
+        }
+        // Some hoard for seconds, then spend all at once.
+        if (random.nextInt(now % 7_000_000 < 3_000_000 ? 40 : 3) == 0) {
+          for (int k = n.spend(now, 100); k > 0; k--) {
+            runs.add(now);
+          }
+        }
+        int out = 0;
+        for (Hoarder h : nodes) {
+          out += h.held(now);
         }
+        highest = Math.max(highest, out);
+        assertTrue(
+            out <= most,
+            "seed " + seed + ": " + out + " tokens unspent, the owner's part is " + most);
+      }
+      assertTrue(highest > most / 2, "the bound was never near: " + highest + " of " + most);
+      assertTrue(runs.size() > 3 * RATE, "though nodes hoard, much is used: " + runs.size());
+      int from = 0;
+      for (int to = 0; to < runs.size(); to++) {
+        while (runs.get(to) - runs.get(from) > 5_000_000) {
+          from++;
+        }
+        assertTrue(to - from + 1 <= RATE * 5 + BURST + most, "window of " + (to - from + 1));
+      }
     }
+  }
 
-    @Test
-    void lateOrRepeatedReportsChangeNothing() throws ChartException {
-        Chandlery owner = owner(0);
-        long now = 10_000_000;
-        assertEquals(4, owner.lend("t", 1, 0, 0, 4, 0, now).count());
-        owner.lend("t", 1, 3, 2, 0, 0, now);
-        owner.lend("t", 1, 3, 2, 0, 0, now);
-        owner.lend("t", 1, 1, 0, 0, 0, now);
-        // 30 tokens, 4 lent, 2 given back; 1 is out.
-        assertEquals(28, owner.status(now).get(0).number("tokens"));
-        assertEquals(1, owner.status(now).get(0).number("out"));
-        assertEquals(0, owner.status(now + 2_100_000).get(0).number("out"), "what is out expires");
-    }
+  @Test
+  void lateOrRepeatedReportsChangeNothing() throws ChartException {
+    Chandlery owner = owner(0);
+    long now = 10_000_000;
+    assertEquals(4, owner.lend("t", 1, 0, 0, 4, 0, now).count());
+    owner.lend("t", 1, 3, 2, 0, 0, now);
+    owner.lend("t", 1, 3, 2, 0, 0, now);
+    owner.lend("t", 1, 1, 0, 0, 0, now);
+    // 30 tokens, 4 lent, 2 given back; 1 is out.
+    assertEquals(28, owner.status(now).get(0).number("tokens"));
+    assertEquals(1, owner.status(now).get(0).number("out"));
+    assertEquals(0, owner.status(now + 2_100_000).get(0).number("out"), "what is out expires");
+  }
 
-    @Test
-    void newOwnerAndNewTenantBeginEmpty() throws ChartException {
-        Chandlery owner = owner(5_000_000);
-        assertTrue(owner.lend("t", 1, 0, 0, 1, 0, 5_000_000).over());
-        assertEquals(2, owner.lend("t", 1, 0, 0, 9, 0, 5_050_000).count());
-    }
+  @Test
+  void newOwnerAndNewTenantBeginEmpty() throws ChartException {
+    Chandlery owner = owner(5_000_000);
+    assertTrue(owner.lend("t", 1, 0, 0, 1, 0, 5_000_000).over());
+    assertEquals(2, owner.lend("t", 1, 0, 0, 9, 0, 5_050_000).count());
+  }
 }
--- a/src/test/java/org/otterpond/harbour/HundredsOfChangesTest.java
+++ b/src/test/java/org/otterpond/harbour/HundredsOfChangesTest.java
@@ -16,91 +16,126 @@
 
 /** What a day with hundreds of changes leaves on a small disk. */
 class HundredsOfChangesTest {
-    private static final long DISK = 64L << 20;
+  private static final long DISK = 64L << 20;
 
-    @TempDir
-    private Path folder;
+  @TempDir private Path folder;
 
-    private static String configuration(int routes, long revision) {
-        Random r = new Random(routes);
-        StringBuilder s = new StringBuilder("{\"revision\":" + revision + ",\"route_table\":[");
-        for (int i = 0; i < routes; i++) {
-            s.append(i == 0 ? "" : ",").append("{\"name\":\"route-").append(i).append("\",\"host\":\"h")
-                    .append(Integer.toHexString(r.nextInt())).append(".example\",\"path_prefix\":\"/")
-                    .append(Integer.toHexString(r.nextInt())).append("/\",\"service\":\"svc-").append(r.nextInt(40))
-                    .append("\",\"idempotent\":").append(r.nextBoolean()).append(",\"timeout_ms\":")
-                    .append(i == revision % routes ? 1 : 1000 + r.nextInt(4000)).append(",\"priority\":")
-                    .append(r.nextInt(4)).append(",\"public_access\":false,\"aim_ms\":")
-                    .append(400 + r.nextInt(900)).append("}");
-        }
-        return s.append("]}").toString();
+  private static String configuration(int routes, long revision) {
+    Random r = new Random(routes);
+    StringBuilder s = new StringBuilder("{\"revision\":" + revision + ",\"route_table\":[");
+    for (int i = 0; i < routes; i++) {
+      s.append(i == 0 ? "" : ",")
+          .append("{\"name\":\"route-")
+          .append(i)
+          .append("\",\"host\":\"h")
+          .append(Integer.toHexString(r.nextInt()))
+          .append(".example\",\"path_prefix\":\"/")
+          .append(Integer.toHexString(r.nextInt()))
+          .append("/\",\"service\":\"svc-")
+          .append(r.nextInt(40))
+          .append("\",\"idempotent\":")
+          .append(r.nextBoolean())
+          .append(",\"timeout_ms\":")
+          .append(i == revision % routes ? 1 : 1000 + r.nextInt(4000))
+          .append(",\"priority\":")
+          .append(r.nextInt(4))
+          .append(",\"public_access\":false,\"aim_ms\":")
+          .append(400 + r.nextInt(900))
+          .append("}");
     }
+    return s.append("]}").toString();
+  }
 
-    private static Hold held(int claims) {
-        Hold h = new Hold(60_000_000);
-        Random r = new Random(claims);
-        for (int i = 0; i < claims; i++) {
-            h.apply(new Flag("claim").with("key", "acme/" + Long.toHexString(r.nextLong()) + Long.toHexString(
-                    r.nextLong())).with("token", Long.toHexString(r.nextLong())).with("holder", "10.0.0.7:7540"), 0);
-        }
-        return h;
+  private static Hold held(int claims) {
+    Hold h = new Hold(60_000_000);
+    Random r = new Random(claims);
+    for (int i = 0; i < claims; i++) {
+      h.apply(
+          new Flag("claim")
+              .with(
+                  "key", "acme/" + Long.toHexString(r.nextLong()) + Long.toHexString(r.nextLong()))
+              .with("token", Long.toHexString(r.nextLong()))
+              .with("holder", "10.0.0.7:7540"),
+          0);
     }
+    return h;
+  }
 
-    /** Old and new file together stay below half of the disk, and the newest change is read back. */
-    @ParameterizedTest
-    @CsvSource({"50, 1000, 600", "1480, 100000, 600", "21000, 100000, 150"})
-    void journalStaysSmallThroughHundredsOfChanges(int routes, int claims, int changes) throws Exception {
-        Hold hold = held(claims);
-        Logbook log = new Logbook(folder);
-        log.open();
-        log.rotate("disk-1", List.of());
-        long at = Logbook.rotateAt(log.size(), DISK);
-        long peak = 0;
-        int rotations = 0;
-        long text = 0;
-        long entry = 0;
-        for (long rev = 1; rev <= changes; rev++) {
-            String full = configuration(routes, rev);
-            Flag change = PackedText.put(PackedText.of(full), new Flag("config").with("rev", rev)).with("digest", String.format("%064x", rev));
-            text = full.length();
-            entry = FlagCodec.encode(change).length;
-            hold.apply(change, 0);
-            if (log.size() > at) {
-                long before = log.size();
-                log.rotate("disk-1", List.of(hold.snapshot()));
-                peak = Math.max(peak, before + log.size());
-                at = Logbook.rotateAt(log.size(), DISK);
-                rotations++;
-            } else {
-                log.append(List.of(Logbook.frame(change)));
-                peak = Math.max(peak, log.size());
-            }
-        }
-        System.out.println("journal routes=" + routes + " claims=" + claims + " changes=" + changes + " text=" + text
-                + " entry=" + entry + " rotations=" + rotations + " peak=" + peak + " state_plain="
-                + FlagCodec.encode(hold.snapshot()).length + " state=" + Logbook.frame(hold.snapshot()).length);
-        assertTrue(peak < DISK / 2, "peak of " + peak);
-        Logbook again = new Logbook(folder);
-        again.open();
-        Hold read = new Hold(60_000_000);
-        List<String> seen = new ArrayList<>();
-        again.replay(f -> {
-            seen.add(f.kind());
-            if (f.kind().equals("state")) {
-                read.load(f, 0);
-            } else {
-                read.apply(f, 0);
-            }
-        });
-        assertEquals(changes, read.revision());
-        assertEquals(configuration(routes, changes), read.text().unpacked());
-        assertEquals(rotations > 0 ? claims : 0, read.claimCount());
+  /** Old and new file together stay below half of the disk, and the newest change is read back. */
+  @ParameterizedTest
+  @CsvSource({"50, 1000, 600", "1480, 100000, 600", "21000, 100000, 150"})
+  void journalStaysSmallThroughHundredsOfChanges(int routes, int claims, int changes)
+      throws Exception {
+    Hold hold = held(claims);
+    Logbook log = new Logbook(folder);
+    log.open();
+    log.rotate("disk-1", List.of());
+    long at = Logbook.rotateAt(log.size(), DISK);
+    long peak = 0;
+    int rotations = 0;
+    long text = 0;
+    long entry = 0;
+    for (long rev = 1; rev <= changes; rev++) {
+      String full = configuration(routes, rev);
+      Flag change =
+          PackedText.put(PackedText.of(full), new Flag("config").with("rev", rev))
+              .with("digest", String.format("%064x", rev));
+      text = full.length();
+      entry = FlagCodec.encode(change).length;
+      hold.apply(change, 0);
+      if (log.size() > at) {
+        long before = log.size();
+        log.rotate("disk-1", List.of(hold.snapshot()));
+        peak = Math.max(peak, before + log.size());
+        at = Logbook.rotateAt(log.size(), DISK);
+        rotations++;
+      } else {
+        log.append(List.of(Logbook.frame(change)));
+        peak = Math.max(peak, log.size());
+      }
     }
+    System.out.println(
+        "journal routes="
+            + routes
+            + " claims="
+            + claims
+            + " changes="
+            + changes
+            + " text="
+            + text
+            + " entry="
+            + entry
+            + " rotations="
+            + rotations
+            + " peak="
+            + peak
+            + " state_plain="
+            + FlagCodec.encode(hold.snapshot()).length
+            + " state="
+            + Logbook.frame(hold.snapshot()).length);
+    assertTrue(peak < DISK / 2, "peak of " + peak);
+    Logbook again = new Logbook(folder);
+    again.open();
+    Hold read = new Hold(60_000_000);
+    List<String> seen = new ArrayList<>();
+    again.replay(
+        f -> {
+          seen.add(f.kind());
+          if (f.kind().equals("state")) {
+            read.load(f, 0);
+          } else {
+            read.apply(f, 0);
+          }
+        });
+    assertEquals(changes, read.revision());
+    assertEquals(configuration(routes, changes), read.text().unpacked());
+    assertEquals(rotations > 0 ? claims : 0, read.claimCount());
+  }
 
-    @ParameterizedTest
-    @CsvSource({"0", "1000000", "8000000", "15000000", "25000000"})
-    void fileThatIsDueLeavesRoomForTheNext(long begun) {
-        assertTrue(Logbook.rotateAt(begun, DISK) + begun <= DISK * 9 / 10);
-        assertTrue(Logbook.rotateAt(begun, DISK) > begun);
-    }
+  @ParameterizedTest
+  @CsvSource({"0", "1000000", "8000000", "15000000", "25000000"})
+  void fileThatIsDueLeavesRoomForTheNext(long begun) {
+    assertTrue(Logbook.rotateAt(begun, DISK) + begun <= DISK * 9 / 10);
+    assertTrue(Logbook.rotateAt(begun, DISK) > begun);
+  }
 }
--- a/src/test/java/org/otterpond/harbour/NarrowCore.java
+++ b/src/test/java/org/otterpond/harbour/NarrowCore.java
@@ -14,204 +14,240 @@
 
 /** Members of a core on simulated time, whose links carry so many bytes a second each. */
 final class NarrowCore {
-    private record Event(long at, long number, Runnable task) implements Comparable<Event> {
-        @Override
-        public int compareTo(Event o) {
-            return at != o.at ? Long.compare(at, o.at) : Long.compare(number, o.number);
-        }
-    }
-
-    final Map<String, Member> members = new LinkedHashMap<>();
-    final List<String> log = new ArrayList<>();
-    private final PriorityQueue<Event> events = new PriorityQueue<>();
-    private final Random random = new Random(1);
-    private double bytesPerMicro;
-    private final int faults;
-    private long now = 1_000_000;
-    private long number;
-    /** Says which messages are lost: by receiver and message. */
-    BiPredicate<String, Flag> lost = (to, f) -> false;
-    int pieces;
-
-    NarrowCore(int size, int faults, double megabits) {
-        this.faults = faults;
-        megabits(megabits);
-        List<Berth> berths = new ArrayList<>();
-        for (int i = 1; i <= size; i++) {
-            berths.add(new Berth("disk" + i, "m" + i, "m" + i, "z"));
-        }
-        for (Berth b : berths) {
-            members.put(b.address(), new Member(b));
-        }
-        EpochRecord first = new EpochRecord("fleet", 1, berths.get(0), berths.subList(1, 1 + faults), berths, size);
-        members.values().forEach(m -> {
-            m.start();
-            m.watch.found(first);
-        });
-        run(1_000_000);
-    }
-
-    void megabits(double megabits) {
-        bytesPerMicro = megabits / 8;
-    }
-
-    void run(long micros) {
-        long until = now + micros;
-        while (!events.isEmpty() && events.peek().at() <= until) {
-            Event e = events.poll();
-            now = e.at();
-            e.task().run();
-        }
-        now = until;
-    }
-
-    private void at(long delay, Runnable task) {
-        events.add(new Event(now + Math.max(0, delay), ++number, task));
-    }
-
-    Member leader() {
-        return members.values().stream().filter(m -> m.watch != null && m.watch.leading()).findFirst().orElse(null);
-    }
-
-    /** How long until a primary leads that is not of the epoch given; -1 if it takes longer than the bound. */
-    long untilEpochAfter(long epoch, long bound) {
-        long from = now;
-        while (now - from < bound) {
-            run(10_000);
-            Member l = leader();
-            if (l != null && l.watch.record().epoch() > epoch) {
-                return now - from;
+  private record Event(long at, long number, Runnable task) implements Comparable<Event> {
+    @Override
+    public int compareTo(Event o) {
+      return at != o.at ? Long.compare(at, o.at) : Long.compare(number, o.number);
+    }
+  }
+
+  final Map<String, Member> members = new LinkedHashMap<>();
+  final List<String> log = new ArrayList<>();
+  private final PriorityQueue<Event> events = new PriorityQueue<>();
+  private final Random random = new Random(1);
+  private double bytesPerMicro;
+  private final int faults;
+  private long now = 1_000_000;
+  private long number;
+
+  /** Says which messages are lost: by receiver and message. */
+  BiPredicate<String, Flag> lost = (to, f) -> false;
+
+  int pieces;
+
+  NarrowCore(int size, int faults, double megabits) {
+    this.faults = faults;
+    megabits(megabits);
+    List<Berth> berths = new ArrayList<>();
+    for (int i = 1; i <= size; i++) {
+      berths.add(new Berth("disk" + i, "m" + i, "m" + i, "z"));
+    }
+    for (Berth b : berths) {
+      members.put(b.address(), new Member(b));
+    }
+    EpochRecord first =
+        new EpochRecord("fleet", 1, berths.get(0), berths.subList(1, 1 + faults), berths, size);
+    members
+        .values()
+        .forEach(
+            m -> {
+              m.start();
+              m.watch.found(first);
+            });
+    run(1_000_000);
+  }
+
+  void megabits(double megabits) {
+    bytesPerMicro = megabits / 8;
+  }
+
+  void run(long micros) {
+    long until = now + micros;
+    while (!events.isEmpty() && events.peek().at() <= until) {
+      Event e = events.poll();
+      now = e.at();
+      e.task().run();
+    }
+    now = until;
+  }
+
+  private void at(long delay, Runnable task) {
+    events.add(new Event(now + Math.max(0, delay), ++number, task));
+  }
+
+  Member leader() {
+    return members.values().stream()
+        .filter(m -> m.watch != null && m.watch.leading())
+        .findFirst()
+        .orElse(null);
+  }
+
+  /**
+   * How long until a primary leads that is not of the epoch given; -1 if it takes longer than the
+   * bound.
+   */
+  long untilEpochAfter(long epoch, long bound) {
+    long from = now;
+    while (now - from < bound) {
+      run(10_000);
+      Member l = leader();
+      if (l != null && l.watch.record().epoch() > epoch) {
+        return now - from;
+      }
+    }
+    return -1;
+  }
+
+  /** Claims of operation keys, as many as a busy window holds. */
+  void claims(int count) {
+    for (int done = 0; done < count; ) {
+      Member l = leader();
+      for (int i = 0; i < 500 && done < count; i++, done++) {
+        l.watch.propose(
+            new Flag("claim")
+                .with(
+                    "key",
+                    "acme/"
+                        + Long.toHexString(random.nextLong())
+                        + Long.toHexString(random.nextLong()))
+                .with("token", Long.toHexString(random.nextLong()))
+                .with("holder", "10.0.0." + random.nextInt(100) + ":7540"),
+            () -> {});
+      }
+      run(50_000);
+    }
+    run(500_000);
+  }
+
+  final class Member implements Deck, WatchListener {
+    final Berth berth;
+    final List<byte[]> journal = new ArrayList<>();
+    Watch watch;
+
+    /** So many writes are refused from now on. */
+    int refusals;
+
+    private int life;
+    private long linkFree;
+
+    Member(Berth berth) {
+      this.berth = berth;
+    }
+
+    void start() {
+      life++;
+      watch =
+          new Watch(
+              this,
+              WatchTimes.standard(),
+              this,
+              berth,
+              new Hold(60_000_000),
+              LossTolerance.ofMachines(faults));
+      journal.forEach(b -> watch.replay(decoded(b)));
+      tick(life);
+    }
+
+    void kill() {
+      watch = null;
+      life++;
+    }
+
+    int claims() {
+      return watch.hold().claimCount();
+    }
+
+    private void tick(int of) {
+      at(
+          100_000,
+          () -> {
+            if (of == life) {
+              watch.tick();
+              tick(of);
             }
-        }
-        return -1;
-    }
-
-    /** Claims of operation keys, as many as a busy window holds. */
-    void claims(int count) {
-        for (int done = 0; done < count; ) {
-            Member l = leader();
-            for (int i = 0; i < 500 && done < count; i++, done++) {
-                l.watch.propose(new Flag("claim").with("key", "acme/" + Long.toHexString(random.nextLong())
-                        + Long.toHexString(random.nextLong())).with("token", Long.toHexString(random.nextLong()))
-                        .with("holder", "10.0.0." + random.nextInt(100) + ":7540"), () -> { });
+          });
+    }
+
+    @Override
+    public long now() {
+      return now;
+    }
+
+    @Override
+    public void send(String address, Flag message) {
+      byte[] bytes = FlagCodec.encode(message);
+      pieces += message.kind().equals("snappiece") ? 1 : 0;
+      linkFree = Math.max(linkFree, now) + (long) (bytes.length / bytesPerMicro);
+      at(
+          linkFree - now + 500,
+          () -> {
+            Member m = members.get(address);
+            if (m.watch != null && !lost.test(address, message)) {
+              m.watch.onMessage(berth.address(), decoded(bytes));
             }
-            run(50_000);
-        }
-        run(500_000);
-    }
-
-    final class Member implements Deck, WatchListener {
-        final Berth berth;
-        final List<byte[]> journal = new ArrayList<>();
-        Watch watch;
-        /** So many writes are refused from now on. */
-        int refusals;
-        private int life;
-        private long linkFree;
-
-        Member(Berth berth) {
-            this.berth = berth;
-        }
-
-        void start() {
-            life++;
-            watch = new Watch(this, WatchTimes.standard(), this, berth, new Hold(60_000_000), LossTolerance.ofMachines(faults));
-            journal.forEach(b -> watch.replay(decoded(b)));
-            tick(life);
-        }
-
-        void kill() {
-            watch = null;
-            life++;
-        }
-
-        int claims() {
-            return watch.hold().claimCount();
-        }
-
-        private void tick(int of) {
-            at(100_000, () -> {
-                if (of == life) {
-                    watch.tick();
-                    tick(of);
-                }
-            });
-        }
-
-        @Override
-        public long now() {
-            return now;
-        }
-
-        @Override
-        public void send(String address, Flag message) {
-            byte[] bytes = FlagCodec.encode(message);
-            pieces += message.kind().equals("snappiece") ? 1 : 0;
-            linkFree = Math.max(linkFree, now) + (long) (bytes.length / bytesPerMicro);
-            at(linkFree - now + 500, () -> {
-                Member m = members.get(address);
-                if (m.watch != null && !lost.test(address, message)) {
-                    m.watch.onMessage(berth.address(), decoded(bytes));
-                }
-            });
-        }
-
-        @Override
-        public void journal(Flag record, Consumer<Boolean> done) {
-            byte[] bytes = FlagCodec.encode(record);
-            int of = life;
-            boolean refused = refusals-- > 0;
-            at(1_000, () -> {
-                if (of == life) {
-                    if (!refused) {
-                        journal.add(bytes);
-                    }
-                    done.accept(!refused);
-                }
-            });
-        }
-
-        @Override
-        public void after(long delay, Runnable task) {
-            int of = life;
-            at(delay, () -> {
-                if (of == life) {
-                    task.run();
-                }
-            });
-        }
+          });
+    }
 
-        @Override
-        public long random(long bound) {
-            return Math.floorMod(random.nextLong(), bound);
-        }
+    @Override
+    public void journal(Flag record, Consumer<Boolean> done) {
+      byte[] bytes = FlagCodec.encode(record);
+      int of = life;
+      boolean refused = refusals-- > 0;
+      at(
+          1_000,
+          () -> {
+            if (of == life) {
+              if (!refused) {
+                journal.add(bytes);
+              }
+              done.accept(!refused);
+            }
+          });
+    }
 
-        @Override
-        public void event(String line) {
-            log.add(now / 1000 + " " + berth.name() + " " + line);
-        }
+    @Override
+    public void after(long delay, Runnable task) {
+      int of = life;
+      at(
+          delay,
+          () -> {
+            if (of == life) {
+              task.run();
+            }
+          });
+    }
 
-        @Override
-        public void began(EpochRecord record, boolean continued) {
-            // Nobody is served here.
-        }
+    @Override
+    public long random(long bound) {
+      return Math.floorMod(random.nextLong(), bound);
+    }
 
-        @Override
-        public void steppedDown() {
-            // Nobody is served here.
-        }
+    @Override
+    public void event(String line) {
+      log.add(now / 1000 + " " + berth.name() + " " + line);
+    }
+
+    @Override
+    public void began(EpochRecord record, boolean continued) {
+      // Nobody is served here.
+    }
+
+    @Override
+    public void steppedDown() {
+      // Nobody is served here.
+    }
 
-        @Override
-        public void learnt(EpochRecord record) {
-            // Nobody is served here.
-        }
+    @Override
+    public void learnt(EpochRecord record) {
+      // Nobody is served here.
     }
+  }
 
-    private static Flag decoded(byte[] b) {
-        try {
-            return FlagCodec.decode(b, 0, b.length);
-        } catch (SignalException e) {
-            throw new IllegalStateException(e);
-        }
+  private static Flag decoded(byte[] b) {
+    try {
+      return FlagCodec.decode(b, 0, b.length);
+    } catch (SignalException e) {
+      throw new IllegalStateException(e);
     }
+  }
 }
--- a/src/test/java/org/otterpond/keel/LeavingTest.java
+++ b/src/test/java/org/otterpond/keel/LeavingTest.java
@@ -12,72 +12,90 @@
 
 /** A node that is told to end: whatever it has read gets a whole answer. */
 class LeavingTest {
-    private static String get(String path, String id) {
-        return "GET " + path + " HTTP/1.1\r\nHost: h.example\r\nX-Otterpond-Attempt-Id: " + id
-                + "\r\nX-Otterpond-Operation-Key: " + id + "\r\n\r\n";
-    }
+  private static String get(String path, String id) {
+    return "GET "
+        + path
+        + " HTTP/1.1\r\nHost: h.example\r\nX-Otterpond-Attempt-Id: "
+        + id
+        + "\r\nX-Otterpond-Operation-Key: "
+        + id
+        + "\r\n\r\n";
+  }
 
-    private static String call(int port, String request) throws Exception {
-        try (RawClient c = new RawClient(port)) {
-            return c.send(request).answer();
-        }
+  private static String call(int port, String request) throws Exception {
+    try (RawClient c = new RawClient(port)) {
+      return c.send(request).answer();
     }
+  }
 
-    @Test
-    void whatIsInHandAtTheEndIsAnsweredAndWhatComesLateIsSentElsewhere(@TempDir Path folder) throws Exception {
-        CountDownLatch ended = new CountDownLatch(1);
-        LoopbackNode node = new LoopbackNode(folder, "\"grace_s\":3.5", ended::countDown);
-        int front = node.front;
-        ScriptedWorker worker = new ScriptedWorker();
-        CountDownLatch never = new CountDownLatch(1);
-        CountDownLatch reached = new CountDownLatch(2);
-        worker.script = r -> {
-            if (r.contains("/stuck")) {
-                reached.countDown();
-                try {
-                    never.await();
-                } catch (InterruptedException e) {
-                    Thread.currentThread().interrupt();
-                }
+  @Test
+  void whatIsInHandAtTheEndIsAnsweredAndWhatComesLateIsSentElsewhere(@TempDir Path folder)
+      throws Exception {
+    CountDownLatch ended = new CountDownLatch(1);
+    LoopbackNode node = new LoopbackNode(folder, "\"grace_s\":3.5", ended::countDown);
+    int front = node.front;
+    ScriptedWorker worker = new ScriptedWorker();
+    CountDownLatch never = new CountDownLatch(1);
+    CountDownLatch reached = new CountDownLatch(2);
+    worker.script =
+        r -> {
+          if (r.contains("/stuck")) {
+            reached.countDown();
+            try {
+              never.await();
+            } catch (InterruptedException e) {
+              Thread.currentThread().interrupt();
             }
-            return ScriptedWorker.ok(r, "hello");
+          }
+          return ScriptedWorker.ok(r, "hello");
         };
-        node.configure("{\"revision\":1,\"route_table\":[" + route("i", "/i/", "idempotent") + ","
-                + route("k", "/k/", "keyed") + "],\"service_table\":[{\"name\":\"s\"}]}");
-        node.beat(worker.port());
-        LoopbackNode.untilAnswered(front, get("/k/first", "a0"));
-        CompletableFuture<String> once = later(front, get("/k/stuck", "a1"));
-        CompletableFuture<String> often = later(front, get("/i/stuck", "a2"));
-        assertTrue(reached.await(5, TimeUnit.SECONDS));
+    node.configure(
+        "{\"revision\":1,\"route_table\":["
+            + route("i", "/i/", "idempotent")
+            + ","
+            + route("k", "/k/", "keyed")
+            + "],\"service_table\":[{\"name\":\"s\"}]}");
+    node.beat(worker.port());
+    LoopbackNode.untilAnswered(front, get("/k/first", "a0"));
+    CompletableFuture<String> once = later(front, get("/k/stuck", "a1"));
+    CompletableFuture<String> often = later(front, get("/i/stuck", "a2"));
+    assertTrue(reached.await(5, TimeUnit.SECONDS));
 
-        node.keel.leave();
-        assertTrue(call(front, get("/i/early", "a3")).startsWith("HTTP/1.1 200"), "there is time for it");
-        String late = "";
-        for (int i = 0; i < 120 && !late.startsWith("HTTP/1.1 503"); i++) {
-            TimeUnit.MILLISECONDS.sleep(25);
-            late = call(front, get("/k/late", "b" + i));
-        }
-        assertTrue(late.startsWith("HTTP/1.1 503") && late.contains("Connection: close"), late);
-        assertEquals(1, ended.getCount(), "it was refused before the end");
-        assertTrue(once.get(5, TimeUnit.SECONDS).startsWith("HTTP/1.1 502"), once.get());
-        assertTrue(often.get(5, TimeUnit.SECONDS).startsWith("HTTP/1.1 502"), often.get());
-        assertTrue(ended.await(3, TimeUnit.SECONDS));
-        worker.close();
+    node.keel.leave();
+    assertTrue(
+        call(front, get("/i/early", "a3")).startsWith("HTTP/1.1 200"), "there is time for it");
+    String late = "";
+    for (int i = 0; i < 120 && !late.startsWith("HTTP/1.1 503"); i++) {
+      TimeUnit.MILLISECONDS.sleep(25);
+      late = call(front, get("/k/late", "b" + i));
     }
+    assertTrue(late.startsWith("HTTP/1.1 503") && late.contains("Connection: close"), late);
+    assertEquals(1, ended.getCount(), "it was refused before the end");
+    assertTrue(once.get(5, TimeUnit.SECONDS).startsWith("HTTP/1.1 502"), once.get());
+    assertTrue(often.get(5, TimeUnit.SECONDS).startsWith("HTTP/1.1 502"), often.get());
+    assertTrue(ended.await(3, TimeUnit.SECONDS));
+    worker.close();
+  }
 
-    private static CompletableFuture<String> later(int port, String request) {
-        return CompletableFuture.supplyAsync(() -> {
-            try {
-                return call(port, request);
-            } catch (Exception e) {
-                return e.toString();
-            }
+  private static CompletableFuture<String> later(int port, String request) {
+    return CompletableFuture.supplyAsync(
+        () -> {
+          try {
+            return call(port, request);
+          } catch (Exception e) {
+            return e.toString();
+          }
         });
-    }
+  }
 
-    private static String route(String name, String prefix, String type) {
-        return "{\"name\":\"" + name + "\",\"host_name\":\"h.example\",\"path_prefix\":\"" + prefix
-                + "\",\"route_type\":\"" + type + "\",\"guard_timer_ms\":10000,\"target_latency_ms\":9000,"
-                + "\"target_service\":\"s\",\"max_attempts\":2}";
-    }
+  private static String route(String name, String prefix, String type) {
+    return "{\"name\":\""
+        + name
+        + "\",\"host_name\":\"h.example\",\"path_prefix\":\""
+        + prefix
+        + "\",\"route_type\":\""
+        + type
+        + "\",\"guard_timer_ms\":10000,\"target_latency_ms\":9000,"
+        + "\"target_service\":\"s\",\"max_attempts\":2}";
+  }
 }
--- a/src/test/java/org/otterpond/keel/LoopbackNode.java
+++ b/src/test/java/org/otterpond/keel/LoopbackNode.java
@@ -7,79 +7,125 @@
 import java.util.concurrent.TimeUnit;
 import org.otterpond.chart.Settings;
 
-/** One node over real sockets, on ports that are free, with the calls that every test of it begins with. */
+/**
+ * One node over real sockets, on ports that are free, with the calls that every test of it begins
+ * with.
+ */
 final class LoopbackNode {
-    final int front = freePort();
-    final int control = freePort();
-    final Keel keel;
-    private final int internal = freePort();
+  final int front = freePort();
+  final int control = freePort();
+  final Keel keel;
+  private final int internal = freePort();
 
-    /** @param bounds fields of the settings' bounds, as JSON without braces */
-    LoopbackNode(Path folder, String bounds, Runnable end) throws Exception {
-        Path file = folder.resolve("local.json");
-        Files.writeString(file, "{\"node_name\":\"n\",\"ip\":\"127.0.0.1\",\"zone\":\"z\",\"listen_points\":{"
-                + "\"front_plain\":\"127.0.0.1:" + front + "\",\"control_point\":\"127.0.0.1:" + control
-                + "\"},\"internal_port_range\":[" + internal + "," + internal + "],\"seed_peers\":[\"127.0.0.1:"
-                + control + "\"],\"initial_start\":true,\"data_dir\":\"" + folder.resolve("data")
-                + "\",\"bounds\":{" + bounds + "}}");
-        keel = run(file, end);
-    }
+  /**
+   * @param bounds fields of the settings' bounds, as JSON without braces
+   */
+  LoopbackNode(Path folder, String bounds, Runnable end) throws Exception {
+    Path file = folder.resolve("local.json");
+    Files.writeString(
+        file,
+        "{\"node_name\":\"n\",\"ip\":\"127.0.0.1\",\"zone\":\"z\",\"listen_points\":{"
+            + "\"front_plain\":\"127.0.0.1:"
+            + front
+            + "\",\"control_point\":\"127.0.0.1:"
+            + control
+            + "\"},\"internal_port_range\":["
+            + internal
+            + ","
+            + internal
+            + "],\"seed_peers\":[\"127.0.0.1:"
+            + control
+            + "\"],\"initial_start\":true,\"data_dir\":\""
+            + folder.resolve("data")
+            + "\",\"bounds\":{"
+            + bounds
+            + "}}");
+    keel = run(file, end);
+  }
 
-    static Keel run(Path file, Runnable end) throws Exception {
-        Keel k = new Keel(file, Settings.load(file), end);
-        Thread t = new Thread(() -> {
-            try {
+  static Keel run(Path file, Runnable end) throws Exception {
+    Keel k = new Keel(file, Settings.load(file), end);
+    Thread t =
+        new Thread(
+            () -> {
+              try {
                 k.run();
-            } catch (Exception e) {
+              } catch (Exception e) {
                 throw new IllegalStateException(e);
-            }
-        });
-        t.setDaemon(true);
-        t.start();
-        return k;
-    }
+              }
+            });
+    t.setDaemon(true);
+    t.start();
+    return k;
+  }
 
-    /** A machine that stores messages, at another address of the loopback. */
-    Keel store(Path folder, String ip, String bounds, Runnable end) throws Exception {
-        Path file = folder.resolve("store-" + ip + ".json");
-        Files.writeString(file, "{\"node_name\":\"store-" + ip + "\",\"ip\":\"" + ip + "\",\"zone\":\"z\",\"serves\":"
-                + "[\"storage\"],\"deployment\":\"queue\",\"listen_points\":{},\"internal_port_range\":[" + internal + ","
-                + internal + "],\"seed_peers\":[\"127.0.0.1:" + control + "\"],\"initial_start\":true,\"data_dir\":\""
-                + folder.resolve("data-" + ip) + "\",\"limits\":{\"disk_mb\":64},\"bounds\":{" + bounds + "}}");
-        return run(file, end);
-    }
+  /** A machine that stores messages, at another address of the loopback. */
+  Keel store(Path folder, String ip, String bounds, Runnable end) throws Exception {
+    Path file = folder.resolve("store-" + ip + ".json");
+    Files.writeString(
+        file,
+        "{\"node_name\":\"store-"
+            + ip
+            + "\",\"ip\":\""
+            + ip
+            + "\",\"zone\":\"z\",\"serves\":"
+            + "[\"storage\"],\"deployment\":\"queue\",\"listen_points\":{},\"internal_port_range\":["
+            + internal
+            + ","
+            + internal
+            + "],\"seed_peers\":[\"127.0.0.1:"
+            + control
+            + "\"],\"initial_start\":true,\"data_dir\":\""
+            + folder.resolve("data-" + ip)
+            + "\",\"limits\":{\"disk_mb\":64},\"bounds\":{"
+            + bounds
+            + "}}");
+    return run(file, end);
+  }
 
-    static int freePort() throws IOException {
-        try (ServerSocket s = new ServerSocket(0)) {
-            return s.getLocalPort();
-        }
+  static int freePort() throws IOException {
+    try (ServerSocket s = new ServerSocket(0)) {
+      return s.getLocalPort();
     }
+  }
 
-    void configure(String config) throws Exception {
-        untilAnswered(control, "POST /-/Configuration.Replace HTTP/1.1\r\nHost: c\r\nX-Otterpond-Base-Revision: 0\r\n"
-                + "Content-Length: " + config.length() + "\r\n\r\n" + config);
-    }
+  void configure(String config) throws Exception {
+    untilAnswered(
+        control,
+        "POST /-/Configuration.Replace HTTP/1.1\r\nHost: c\r\nX-Otterpond-Base-Revision: 0\r\n"
+            + "Content-Length: "
+            + config.length()
+            + "\r\n\r\n"
+            + config);
+  }
 
-    void beat(int workerPort) throws Exception {
-        String beat = "{\"target_service\":\"s\",\"address\":\"127.0.0.1:" + workerPort + "\",\"zone\":\"z\","
-                + "\"capacity_slots\":8,\"state\":\"in_service\",\"call_sequence\":1}";
-        untilAnswered(control, "POST /-/Instances.Heartbeat/i-1 HTTP/1.1\r\nHost: c\r\nContent-Length: "
-                + beat.length() + "\r\n\r\n" + beat);
-    }
+  void beat(int workerPort) throws Exception {
+    String beat =
+        "{\"target_service\":\"s\",\"address\":\"127.0.0.1:"
+            + workerPort
+            + "\",\"zone\":\"z\","
+            + "\"capacity_slots\":8,\"state\":\"in_service\",\"call_sequence\":1}";
+    untilAnswered(
+        control,
+        "POST /-/Instances.Heartbeat/i-1 HTTP/1.1\r\nHost: c\r\nContent-Length: "
+            + beat.length()
+            + "\r\n\r\n"
+            + beat);
+  }
 
-    static void untilAnswered(int port, String call) throws Exception {
-        String last = "";
-        for (int i = 0; i < 200; i++) {
-            try (RawClient c = new RawClient(port)) {
-                last = c.send(call).answer();
-                if (last.startsWith("HTTP/1.1 200")) {
-                    return;
-                }
-            } catch (IOException e) {
-                last = e.toString();
-            }
-            TimeUnit.MILLISECONDS.sleep(50);
+  static void untilAnswered(int port, String call) throws Exception {
+    String last = "";
+    for (int i = 0; i < 200; i++) {
+      try (RawClient c = new RawClient(port)) {
+        last = c.send(call).answer();
+        if (last.startsWith("HTTP/1.1 200")) {
+          return;
         }
-        throw new IllegalStateException("never answered 200: " + last);
+      } catch (IOException e) {
+        last = e.toString();
+      }
+      TimeUnit.MILLISECONDS.sleep(50);
     }
+    throw new IllegalStateException("never answered 200: " + last);
+  }
 }
--- a/src/test/java/org/otterpond/keel/RawClient.java
+++ b/src/test/java/org/otterpond/keel/RawClient.java
@@ -9,52 +9,53 @@
 
 /** A client that sends just the bytes it is told to. */
 final class RawClient implements AutoCloseable {
-    private final Socket socket;
-
-    RawClient(int port) throws IOException {
-        socket = new Socket("127.0.0.1", port);
-        socket.setSoTimeout(8_000);
-    }
-
-    RawClient send(String bytes) throws IOException {
-        socket.getOutputStream().write(bytes.getBytes(StandardCharsets.ISO_8859_1));
-        socket.getOutputStream().flush();
-        return this;
-    }
-
-    /** One answer, head and body, by its Content-Length. */
-    String answer() throws IOException {
-        return answer(true);
-    }
-
-    String answer(boolean withBody) throws IOException {
-        InputStream in = socket.getInputStream();
-        ByteArrayOutputStream b = new ByteArrayOutputStream();
-        while (!b.toString(StandardCharsets.ISO_8859_1).endsWith("\r\n\r\n")) {
-            int c = in.read();
-            if (c < 0) {
-                return b.toString(StandardCharsets.ISO_8859_1);
-            }
-            b.write(c);
-        }
-        String length = ScriptedWorker.header(b.toString(StandardCharsets.ISO_8859_1), "Content-Length");
-        if (withBody && length != null) {
-            b.write(in.readNBytes(Integer.parseInt(length)));
-        }
+  private final Socket socket;
+
+  RawClient(int port) throws IOException {
+    socket = new Socket("127.0.0.1", port);
+    socket.setSoTimeout(8_000);
+  }
+
+  RawClient send(String bytes) throws IOException {
+    socket.getOutputStream().write(bytes.getBytes(StandardCharsets.ISO_8859_1));
+    socket.getOutputStream().flush();
+    return this;
+  }
+
+  /** One answer, head and body, by its Content-Length. */
+  String answer() throws IOException {
+    return answer(true);
+  }
+
+  String answer(boolean withBody) throws IOException {
+    InputStream in = socket.getInputStream();
+    ByteArrayOutputStream b = new ByteArrayOutputStream();
+    while (!b.toString(StandardCharsets.ISO_8859_1).endsWith("\r\n\r\n")) {
+      int c = in.read();
+      if (c < 0) {
         return b.toString(StandardCharsets.ISO_8859_1);
+      }
+      b.write(c);
     }
-
-    /** Whether the other side ends the connection before sending anything more. */
-    boolean ended() throws IOException {
-        try {
-            return socket.getInputStream().read() < 0;
-        } catch (SocketTimeoutException e) {
-            return false;
-        }
+    String length =
+        ScriptedWorker.header(b.toString(StandardCharsets.ISO_8859_1), "Content-Length");
+    if (withBody && length != null) {
+      b.write(in.readNBytes(Integer.parseInt(length)));
     }
-
-    @Override
-    public void close() throws IOException {
-        socket.close();
+    return b.toString(StandardCharsets.ISO_8859_1);
+  }
+
+  /** Whether the other side ends the connection before sending anything more. */
+  boolean ended() throws IOException {
+    try {
+      return socket.getInputStream().read() < 0;
+    } catch (SocketTimeoutException e) {
+      return false;
     }
+  }
+
+  @Override
+  public void close() throws IOException {
+    socket.close();
+  }
 }
--- a/src/test/java/org/otterpond/keel/ScriptedWorker.java
+++ b/src/test/java/org/otterpond/keel/ScriptedWorker.java
@@ -13,105 +13,118 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.function.Function;
 
-/** A worker whose every byte the test decides: it is given the request's text and gives the answer's. */
+/**
+ * A worker whose every byte the test decides: it is given the request's text and gives the
+ * answer's.
+ */
 final class ScriptedWorker implements AutoCloseable {
-    /** Ends the connection after what comes before it. */
-    static final String HANG_UP = "\u0000";
-
-    private final ServerSocket server;
-    /** Connections that are up. */
-    final AtomicInteger open = new AtomicInteger();
-    final List<String> requests = new CopyOnWriteArrayList<>();
-    /** A connection idle for longer is ended at the next request, which nobody reads. */
-    volatile long forgetsAfterNanos = Long.MAX_VALUE;
-    volatile Function<String, String> script = r -> ok(r, "hello");
-
-    ScriptedWorker() throws IOException {
-        server = new ServerSocket(0, 50, InetAddress.getByName("127.0.0.1"));
-        daemon(() -> {
-            while (!server.isClosed()) {
-                try {
-                    Socket s = server.accept();
-                    daemon(() -> serve(s));
-                } catch (IOException e) {
-                    return;
-                }
+  /** Ends the connection after what comes before it. */
+  static final String HANG_UP = "\u0000";
+
+  private final ServerSocket server;
+
+  /** Connections that are up. */
+  final AtomicInteger open = new AtomicInteger();
+
+  final List<String> requests = new CopyOnWriteArrayList<>();
+
+  /** A connection idle for longer is ended at the next request, which nobody reads. */
+  volatile long forgetsAfterNanos = Long.MAX_VALUE;
+
+  volatile Function<String, String> script = r -> ok(r, "hello");
+
+  ScriptedWorker() throws IOException {
+    server = new ServerSocket(0, 50, InetAddress.getByName("127.0.0.1"));
+    daemon(
+        () -> {
+          while (!server.isClosed()) {
+            try {
+              Socket s = server.accept();
+              daemon(() -> serve(s));
+            } catch (IOException e) {
+              return;
             }
+          }
         });
-    }
+  }
 
-    private static void daemon(Runnable r) {
-        Thread t = new Thread(r, "scripted-worker");
-        t.setDaemon(true);
-        t.start();
-    }
+  private static void daemon(Runnable r) {
+    Thread t = new Thread(r, "scripted-worker");
+    t.setDaemon(true);
+    t.start();
+  }
 
-    int port() {
-        return server.getLocalPort();
-    }
+  int port() {
+    return server.getLocalPort();
+  }
 
-    static String header(String request, String name) {
-        for (String line : request.split("\r\n")) {
-            if (line.regionMatches(true, 0, name + ":", 0, name.length() + 1)) {
-                return line.substring(name.length() + 1).trim();
-            }
-        }
-        return null;
+  static String header(String request, String name) {
+    for (String line : request.split("\r\n")) {
+      if (line.regionMatches(true, 0, name + ":", 0, name.length() + 1)) {
+        return line.substring(name.length() + 1).trim();
+      }
     }
+    return null;
+  }
 
-    static String ok(String request, String body) {
-        return "HTTP/1.1 200 OK\r\nX-Otterpond-Attempt-Id: " + header(request, "X-Otterpond-Attempt-Id")
-                + "\r\nX-Otterpond-Server-Seal: seal\r\nContent-Length: " + body.length() + "\r\n\r\n" + body;
-    }
+  static String ok(String request, String body) {
+    return "HTTP/1.1 200 OK\r\nX-Otterpond-Attempt-Id: "
+        + header(request, "X-Otterpond-Attempt-Id")
+        + "\r\nX-Otterpond-Server-Seal: seal\r\nContent-Length: "
+        + body.length()
+        + "\r\n\r\n"
+        + body;
+  }
 
-    /** The answer of a worker that has no room. */
-    static String full(String request) {
-        return "HTTP/1.1 503 Busy\r\nX-Otterpond-Attempt-Id: " + header(request, "X-Otterpond-Attempt-Id")
-                + "\r\nX-Otterpond-Not-Executed: full\r\nContent-Length: 0\r\n\r\n";
-    }
+  /** The answer of a worker that has no room. */
+  static String full(String request) {
+    return "HTTP/1.1 503 Busy\r\nX-Otterpond-Attempt-Id: "
+        + header(request, "X-Otterpond-Attempt-Id")
+        + "\r\nX-Otterpond-Not-Executed: full\r\nContent-Length: 0\r\n\r\n";
+  }
 
-    private void serve(Socket s) {
-        open.incrementAndGet();
-        try (s) {
-            InputStream in = s.getInputStream();
-            OutputStream out = s.getOutputStream();
-            for (long idleFrom = System.nanoTime(); ; idleFrom = System.nanoTime()) {
-                String request = read(in);
-                if (request == null || System.nanoTime() - idleFrom > forgetsAfterNanos) {
-                    return;
-                }
-                requests.add(request);
-                String answer = script.apply(request);
-                boolean end = answer.endsWith(HANG_UP);
-                out.write(answer.replace(HANG_UP, "").getBytes(StandardCharsets.ISO_8859_1));
-                out.flush();
-                if (end) {
-                    return;
-                }
-            }
-        } catch (IOException e) {
-            // The node hung up.
-        } finally {
-            open.decrementAndGet();
+  private void serve(Socket s) {
+    open.incrementAndGet();
+    try (s) {
+      InputStream in = s.getInputStream();
+      OutputStream out = s.getOutputStream();
+      for (long idleFrom = System.nanoTime(); ; idleFrom = System.nanoTime()) {
+        String request = read(in);
+        if (request == null || System.nanoTime() - idleFrom > forgetsAfterNanos) {
+          return;
         }
-    }
-
-    private static String read(InputStream in) throws IOException {
-        ByteArrayOutputStream b = new ByteArrayOutputStream();
-        while (!b.toString(StandardCharsets.ISO_8859_1).endsWith("\r\n\r\n")) {
-            int c = in.read();
-            if (c < 0) {
-                return null;
-            }
-            b.write(c);
+        requests.add(request);
+        String answer = script.apply(request);
+        boolean end = answer.endsWith(HANG_UP);
+        out.write(answer.replace(HANG_UP, "").getBytes(StandardCharsets.ISO_8859_1));
+        out.flush();
+        if (end) {
+          return;
         }
-        String length = header(b.toString(StandardCharsets.ISO_8859_1), "Content-Length");
-        b.write(in.readNBytes(length == null ? 0 : Integer.parseInt(length)));
-        return b.toString(StandardCharsets.ISO_8859_1);
+      }
+    } catch (IOException e) {
+      // The node hung up.
+    } finally {
+      open.decrementAndGet();
     }
+  }
 
-    @Override
-    public void close() throws IOException {
-        server.close();
+  private static String read(InputStream in) throws IOException {
+    ByteArrayOutputStream b = new ByteArrayOutputStream();
+    while (!b.toString(StandardCharsets.ISO_8859_1).endsWith("\r\n\r\n")) {
+      int c = in.read();
+      if (c < 0) {
+        return null;
+      }
+      b.write(c);
     }
+    String length = header(b.toString(StandardCharsets.ISO_8859_1), "Content-Length");
+    b.write(in.readNBytes(length == null ? 0 : Integer.parseInt(length)));
+    return b.toString(StandardCharsets.ISO_8859_1);
+  }
+
+  @Override
+  public void close() throws IOException {
+    server.close();
+  }
 }
--- a/src/test/java/org/otterpond/keel/WrongCallerTest.java
+++ b/src/test/java/org/otterpond/keel/WrongCallerTest.java
@@ -27,278 +27,372 @@
 import org.otterpond.quay.Quay;
 import org.otterpond.signal.Flag;
 
-/** Answers that could reach the wrong caller, and requests that could be sent twice, through one node's real sockets. */
+/**
+ * Answers that could reach the wrong caller, and requests that could be sent twice, through one
+ * node's real sockets.
+ */
 class WrongCallerTest {
-    private static final Set<Integer> PROMISES = Set.of(408, 421, 429, 503);
+  private static final Set<Integer> PROMISES = Set.of(408, 421, 429, 503);
 
-    private static int front;
-    private static int control;
-    private static ScriptedWorker worker;
-    private static ScriptedWorker left;
-    private static ScriptedWorker right;
-    private static int attempt;
+  private static int front;
+  private static int control;
+  private static ScriptedWorker worker;
+  private static ScriptedWorker left;
+  private static ScriptedWorker right;
+  private static int attempt;
 
-    @BeforeAll
-    static void startNode(@TempDir Path folder) throws Exception {
-        LoopbackNode node = new LoopbackNode(folder, "\"retry_ratio\":0.9", () -> { });
-        front = node.front;
-        control = node.control;
-        node.configure("{\"revision\":1,\"route_table\":[" + route("/o/", "non_idempotent", "s") + ","
-                + route("/p/", "idempotent", "s") + "," + route("/k/", "keyed", "s") + ","
-                + route("/closed/", "non_idempotent", "closed") + ","
-                + route("/pair/", "idempotent", "pair") + "],\"service_table\":[{\"name\":\"s\"},{\"name\":\"closed\"},"
-                + "{\"name\":\"pair\"}]}");
-        worker = new ScriptedWorker();
-        left = new ScriptedWorker();
-        right = new ScriptedWorker();
-        int closed;
-        try (ServerSocket s = new ServerSocket(0)) {
-            closed = s.getLocalPort();
-        }
-        beat("i-s", "s", worker.port());
-        beat("i-closed", "closed", closed);
-        beat("i-left", "pair", left.port());
-        beat("i-right", "pair", right.port());
-        for (int i = 0; i < 100 && status(ask("GET /p/up", "", "")) != 200; i++) {
-            TimeUnit.MILLISECONDS.sleep(50);
-        }
+  @BeforeAll
+  static void startNode(@TempDir Path folder) throws Exception {
+    LoopbackNode node = new LoopbackNode(folder, "\"retry_ratio\":0.9", () -> {});
+    front = node.front;
+    control = node.control;
+    node.configure(
+        "{\"revision\":1,\"route_table\":["
+            + route("/o/", "non_idempotent", "s")
+            + ","
+            + route("/p/", "idempotent", "s")
+            + ","
+            + route("/k/", "keyed", "s")
+            + ","
+            + route("/closed/", "non_idempotent", "closed")
+            + ","
+            + route("/pair/", "idempotent", "pair")
+            + "],\"service_table\":[{\"name\":\"s\"},{\"name\":\"closed\"},"
+            + "{\"name\":\"pair\"}]}");
+    worker = new ScriptedWorker();
+    left = new ScriptedWorker();
+    right = new ScriptedWorker();
+    int closed;
+    try (ServerSocket s = new ServerSocket(0)) {
+      closed = s.getLocalPort();
     }
-
-    private static String route(String prefix, String type, String service) {
-        return "{\"name\":\"r" + prefix + "\",\"host_name\":\"h.example\",\"path_prefix\":\"" + prefix + "\",\"route_type\":\""
-                + type + "\",\"guard_timer_ms\":1500,\"target_latency_ms\":300,\"target_service\":\"" + service
-                + "\",\"max_attempts\":2}";
+    beat("i-s", "s", worker.port());
+    beat("i-closed", "closed", closed);
+    beat("i-left", "pair", left.port());
+    beat("i-right", "pair", right.port());
+    for (int i = 0; i < 100 && status(ask("GET /p/up", "", "")) != 200; i++) {
+      TimeUnit.MILLISECONDS.sleep(50);
     }
+  }
 
-    private static void beat(String id, String service, int port) throws Exception {
-        String beat = "{\"target_service\":\"" + service + "\",\"address\":\"127.0.0.1:" + port + "\",\"zone\":\"z\","
-                + "\"capacity_slots\":8,\"state\":\"in_service\",\"call_sequence\":1}";
-        LoopbackNode.untilAnswered(control, "POST /-/Instances.Heartbeat/" + id + " HTTP/1.1\r\nHost: c\r\n"
-                + "Content-Length: " + beat.length() + "\r\n\r\n" + beat);
-    }
+  private static String route(String prefix, String type, String service) {
+    return "{\"name\":\"r"
+        + prefix
+        + "\",\"host_name\":\"h.example\",\"path_prefix\":\""
+        + prefix
+        + "\",\"route_type\":\""
+        + type
+        + "\",\"guard_timer_ms\":1500,\"target_latency_ms\":300,\"target_service\":\""
+        + service
+        + "\",\"max_attempts\":2}";
+  }
 
-    @BeforeEach
-    void plainScript() {
-        worker.script = r -> ScriptedWorker.ok(r, r.split(" ")[1]);
-        worker.requests.clear();
-    }
+  private static void beat(String id, String service, int port) throws Exception {
+    String beat =
+        "{\"target_service\":\""
+            + service
+            + "\",\"address\":\"127.0.0.1:"
+            + port
+            + "\",\"zone\":\"z\","
+            + "\"capacity_slots\":8,\"state\":\"in_service\",\"call_sequence\":1}";
+    LoopbackNode.untilAnswered(
+        control,
+        "POST /-/Instances.Heartbeat/"
+            + id
+            + " HTTP/1.1\r\nHost: c\r\n"
+            + "Content-Length: "
+            + beat.length()
+            + "\r\n\r\n"
+            + beat);
+  }
 
-    private static int status(String answer) {
-        return answer.startsWith("HTTP/1.1 ") ? Integer.parseInt(answer.substring(9, 12)) : -1;
-    }
+  @BeforeEach
+  void plainScript() {
+    worker.script = r -> ScriptedWorker.ok(r, r.split(" ")[1]);
+    worker.requests.clear();
+  }
 
-    private static String body(String answer) {
-        return answer.substring(answer.indexOf("\r\n\r\n") + 4);
-    }
+  private static int status(String answer) {
+    return answer.startsWith("HTTP/1.1 ") ? Integer.parseInt(answer.substring(9, 12)) : -1;
+  }
 
-    private static String head(String line, String more) {
-        return line + " HTTP/1.1\r\nHost: h.example\r\nX-Otterpond-Attempt-Id: w" + ++attempt + "\r\n" + more + "\r\n";
-    }
+  private static String body(String answer) {
+    return answer.substring(answer.indexOf("\r\n\r\n") + 4);
+  }
 
-    private static String ask(String line, String headers, String body) throws IOException {
-        try (RawClient c = new RawClient(front)) {
-            return c.send(head(line, headers) + body).answer();
-        }
-    }
+  private static String head(String line, String more) {
+    return line
+        + " HTTP/1.1\r\nHost: h.example\r\nX-Otterpond-Attempt-Id: w"
+        + ++attempt
+        + "\r\n"
+        + more
+        + "\r\n";
+  }
 
-    private static String keyed(String path, String key, int left) throws IOException {
-        return ask("POST " + path, "X-Otterpond-Operation-Key: " + key + "\r\nX-Otterpond-Time-Remaining: " + left
-                + "\r\nContent-Length: 1\r\n", "b");
+  private static String ask(String line, String headers, String body) throws IOException {
+    try (RawClient c = new RawClient(front)) {
+      return c.send(head(line, headers) + body).answer();
     }
+  }
+
+  private static String keyed(String path, String key, int left) throws IOException {
+    return ask(
+        "POST " + path,
+        "X-Otterpond-Operation-Key: "
+            + key
+            + "\r\nX-Otterpond-Time-Remaining: "
+            + left
+            + "\r\nContent-Length: 1\r\n",
+        "b");
+  }
 
-    private static void await(CountDownLatch latch) {
-        try {
-            latch.await(5, TimeUnit.SECONDS);
-        } catch (InterruptedException e) {
-            Thread.currentThread().interrupt();
-        }
+  private static void await(CountDownLatch latch) {
+    try {
+      latch.await(5, TimeUnit.SECONDS);
+    } catch (InterruptedException e) {
+      Thread.currentThread().interrupt();
     }
+  }
 
-    // ------------------------------------------------------- the wrong caller
+  // ------------------------------------------------------- the wrong caller
 
-    @Test
-    void answerAfterTheTimeOutIsForNobodyAlsoOnAPipelinedConnection() throws Exception {
-        CountDownLatch late = new CountDownLatch(1);
-        worker.script = r -> {
-            if (r.contains("/slow")) {
-                await(late);
-            }
-            return ScriptedWorker.ok(r, r.split(" ")[1]);
+  @Test
+  void answerAfterTheTimeOutIsForNobodyAlsoOnAPipelinedConnection() throws Exception {
+    CountDownLatch late = new CountDownLatch(1);
+    worker.script =
+        r -> {
+          if (r.contains("/slow")) {
+            await(late);
+          }
+          return ScriptedWorker.ok(r, r.split(" ")[1]);
         };
-        try (RawClient c = new RawClient(front)) {
-            c.send(head("POST /o/slow", "X-Otterpond-Time-Remaining: 200\r\nContent-Length: 1\r\n") + "b"
-                    + head("GET /p/next", "") + head("GET /p/one-more", ""));
-            assertEquals(504, status(c.answer()));
-            assertEquals("/p/next", body(c.answer()));
-            late.countDown();
-            assertEquals("/p/one-more", body(c.answer()));
-            assertEquals("/p/last", body(c.send(head("GET /p/last", "")).answer()));
-        }
-        assertEquals(1, worker.requests.stream().filter(r -> r.contains("/slow")).count());
+    try (RawClient c = new RawClient(front)) {
+      c.send(
+          head("POST /o/slow", "X-Otterpond-Time-Remaining: 200\r\nContent-Length: 1\r\n")
+              + "b"
+              + head("GET /p/next", "")
+              + head("GET /p/one-more", ""));
+      assertEquals(504, status(c.answer()));
+      assertEquals("/p/next", body(c.answer()));
+      late.countDown();
+      assertEquals("/p/one-more", body(c.answer()));
+      assertEquals("/p/last", body(c.send(head("GET /p/last", "")).answer()));
     }
+    assertEquals(1, worker.requests.stream().filter(r -> r.contains("/slow")).count());
+  }
 
-    @ParameterizedTest
-    @ValueSource(ints = {204, 304})
-    void answerWithoutABodySaysNoLengthThatTheNextAnswerWouldFill(int status) throws IOException {
-        worker.script = r -> r.contains("/bare") ? "HTTP/1.1 " + status + " Bare\r\nX-Otterpond-Attempt-Id: "
-                + ScriptedWorker.header(r, "X-Otterpond-Attempt-Id") + "\r\nX-Otterpond-Server-Seal: s\r\n"
-                + "Content-Length: 7\r\n\r\n" : ScriptedWorker.ok(r, "next");
-        try (RawClient c = new RawClient(front)) {
-            c.send(head("GET /p/bare", "") + head("GET /p/next", ""));
-            String bare = c.answer(false);
-            assertEquals(status, status(bare));
-            assertNull(ScriptedWorker.header(bare, "Content-Length"));
-            assertEquals("next", body(c.answer()));
-        }
+  @ParameterizedTest
+  @ValueSource(ints = {204, 304})
+  void answerWithoutABodySaysNoLengthThatTheNextAnswerWouldFill(int status) throws IOException {
+    worker.script =
+        r ->
+            r.contains("/bare")
+                ? "HTTP/1.1 "
+                    + status
+                    + " Bare\r\nX-Otterpond-Attempt-Id: "
+                    + ScriptedWorker.header(r, "X-Otterpond-Attempt-Id")
+                    + "\r\nX-Otterpond-Server-Seal: s\r\n"
+                    + "Content-Length: 7\r\n\r\n"
+                : ScriptedWorker.ok(r, "next");
+    try (RawClient c = new RawClient(front)) {
+      c.send(head("GET /p/bare", "") + head("GET /p/next", ""));
+      String bare = c.answer(false);
+      assertEquals(status, status(bare));
+      assertNull(ScriptedWorker.header(bare, "Content-Length"));
+      assertEquals("next", body(c.answer()));
     }
+  }
 
-    @Test
-    void clientCannotDeclareAwayWhatNamesItsRequest() throws IOException {
-        assertEquals(200, status(ask("GET /p/x", "Connection: X-Otterpond-Attempt-Id, Host, X-Mine\r\nX-Mine: 1\r\n", "")));
-        String seen = worker.requests.get(0);
-        assertEquals("w" + attempt, ScriptedWorker.header(seen, "X-Otterpond-Attempt-Id"));
-        assertEquals("h.example", ScriptedWorker.header(seen, "Host"));
-        assertNull(ScriptedWorker.header(seen, "X-Mine"));
-    }
+  @Test
+  void clientCannotDeclareAwayWhatNamesItsRequest() throws IOException {
+    assertEquals(
+        200,
+        status(
+            ask(
+                "GET /p/x",
+                "Connection: X-Otterpond-Attempt-Id, Host, X-Mine\r\nX-Mine: 1\r\n",
+                "")));
+    String seen = worker.requests.get(0);
+    assertEquals("w" + attempt, ScriptedWorker.header(seen, "X-Otterpond-Attempt-Id"));
+    assertEquals("h.example", ScriptedWorker.header(seen, "Host"));
+    assertNull(ScriptedWorker.header(seen, "X-Mine"));
+  }
 
-    @Test
-    void halfClosedClientIsAnsweredAndACutRequestIsNone() throws Exception {
-        try (Socket s = new Socket("127.0.0.1", front)) {
-            s.setSoTimeout(5_000);
-            s.getOutputStream().write(head("GET /p/half", "").getBytes(StandardCharsets.ISO_8859_1));
-            s.shutdownOutput();
-            String all = new String(s.getInputStream().readAllBytes(), StandardCharsets.ISO_8859_1);
-            assertEquals(200, status(all));
-            assertEquals("/p/half", body(all));
-        }
-        for (String rest : List.of("Content-Length: 5\r\n\r\nhel", "Transfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n0\r\n")) {
-            try (Socket s = new Socket("127.0.0.1", front)) {
-                s.getOutputStream().write(head("POST /o/cut", rest).getBytes(StandardCharsets.ISO_8859_1), 0,
-                        head("POST /o/cut", rest).length() - 2);
-                s.shutdownOutput();
-                s.setSoTimeout(5_000);
-                assertEquals(-1, s.getInputStream().read());
-            }
-        }
-        assertEquals(1, worker.requests.size());
+  @Test
+  void halfClosedClientIsAnsweredAndACutRequestIsNone() throws Exception {
+    try (Socket s = new Socket("127.0.0.1", front)) {
+      s.setSoTimeout(5_000);
+      s.getOutputStream().write(head("GET /p/half", "").getBytes(StandardCharsets.ISO_8859_1));
+      s.shutdownOutput();
+      String all = new String(s.getInputStream().readAllBytes(), StandardCharsets.ISO_8859_1);
+      assertEquals(200, status(all));
+      assertEquals("/p/half", body(all));
+    }
+    for (String rest :
+        List.of(
+            "Content-Length: 5\r\n\r\nhel",
+            "Transfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n0\r\n")) {
+      try (Socket s = new Socket("127.0.0.1", front)) {
+        s.getOutputStream()
+            .write(
+                head("POST /o/cut", rest).getBytes(StandardCharsets.ISO_8859_1),
+                0,
+                head("POST /o/cut", rest).length() - 2);
+        s.shutdownOutput();
+        s.setSoTimeout(5_000);
+        assertEquals(-1, s.getInputStream().read());
+      }
     }
+    assertEquals(1, worker.requests.size());
+  }
 
-    // ------------------------------------------------------------- sent twice
+  // ------------------------------------------------------------- sent twice
 
-    @ParameterizedTest
-    @ValueSource(ints = {503, 429, 408})
-    void repeatOfARunIsNotPromisedThatItHasNotRun(int status) throws IOException {
-        worker.script = r -> "HTTP/1.1 " + status + " Ran\r\nX-Otterpond-Attempt-Id: "
-                + ScriptedWorker.header(r, "X-Otterpond-Attempt-Id") + "\r\nContent-Length: 0\r\n\r\n";
-        for (int i = 0; i < 2; i++) {
-            String a = keyed("/k/x", "ran-" + status, 1000);
-            assertFalse(PROMISES.contains(status(a)), a);
-        }
-        assertEquals(1, worker.requests.size());
+  @ParameterizedTest
+  @ValueSource(ints = {503, 429, 408})
+  void repeatOfARunIsNotPromisedThatItHasNotRun(int status) throws IOException {
+    worker.script =
+        r ->
+            "HTTP/1.1 "
+                + status
+                + " Ran\r\nX-Otterpond-Attempt-Id: "
+                + ScriptedWorker.header(r, "X-Otterpond-Attempt-Id")
+                + "\r\nContent-Length: 0\r\n\r\n";
+    for (int i = 0; i < 2; i++) {
+      String a = keyed("/k/x", "ran-" + status, 1000);
+      assertFalse(PROMISES.contains(status(a)), a);
     }
+    assertEquals(1, worker.requests.size());
+  }
 
-    @Test
-    void keyOfARequestThatTimedOutIsNotRunAgain() throws IOException {
-        worker.script = r -> "";
-        assertEquals(504, status(keyed("/k/x", "silent", 300)));
-        worker.script = r -> ScriptedWorker.ok(r, "a second run");
-        assertEquals(502, status(keyed("/k/x", "silent", 1000)));
-        assertEquals(1, worker.requests.size());
-    }
+  @Test
+  void keyOfARequestThatTimedOutIsNotRunAgain() throws IOException {
+    worker.script = r -> "";
+    assertEquals(504, status(keyed("/k/x", "silent", 300)));
+    worker.script = r -> ScriptedWorker.ok(r, "a second run");
+    assertEquals(502, status(keyed("/k/x", "silent", 1000)));
+    assertEquals(1, worker.requests.size());
+  }
 
-    @Test
-    void refusedConnectionIsAPromise() throws IOException {
-        assertEquals(503, status(ask("POST /closed/x", "Content-Length: 1\r\n", "b")));
-    }
+  @Test
+  void refusedConnectionIsAPromise() throws IOException {
+    assertEquals(503, status(ask("POST /closed/x", "Content-Length: 1\r\n", "b")));
+  }
 
-    /** A claim is sent again while it is unanswered: the ledger may grant a copy after the claim was given up and freed. */
-    @Test
-    void claimGrantedAfterItWasGivenUpHoldsNobodyUp() throws Exception {
-        CountDownLatch answer = new CountDownLatch(1);
-        worker.script = r -> {
-            await(answer);
-            return ScriptedWorker.full(r);
+  /**
+   * A claim is sent again while it is unanswered: the ledger may grant a copy after the claim was
+   * given up and freed.
+   */
+  @Test
+  void claimGrantedAfterItWasGivenUpHoldsNobodyUp() throws Exception {
+    CountDownLatch answer = new CountDownLatch(1);
+    worker.script =
+        r -> {
+          await(answer);
+          return ScriptedWorker.full(r);
         };
-        try (RawClient c = new RawClient(front); Peer peer = new Peer()) {
-            c.send(head("POST /k/x", "X-Otterpond-Operation-Key: orphan\r\nContent-Length: 1\r\n") + "b");
-            for (int i = 0; i < 2_000 && worker.requests.isEmpty(); i++) {
-                TimeUnit.MILLISECONDS.sleep(1);
-            }
-            Flag claim = new Flag("ask").with("op", "claim").with("key", "host h.example\norphan").with("holder", "peer");
-            Flag told = peer.ask(claim.with("token", "peer"));
-            String token = told.text("run");
-            assertNotNull(token, "the request at work holds the key");
-            answer.countDown();
-            assertEquals(503, status(c.answer()));
-            for (int i = 0; i < 2; i++) {
-                // The first may come before the word that frees it, the second comes after.
-                assertTrue(peer.ask(claim.with("token", token).with("holder", told.text("holder"))).truth("granted"));
-            }
-        }
-        worker.script = r -> ScriptedWorker.ok(r, "ran");
-        worker.requests.clear();
-        assertEquals("ran", body(keyed("/k/x", "orphan", 1000)));
-        assertEquals("ran", body(keyed("/k/x", "orphan", 1000)));
-        assertEquals(1, worker.requests.size());
+    try (RawClient c = new RawClient(front);
+        Peer peer = new Peer()) {
+      c.send(head("POST /k/x", "X-Otterpond-Operation-Key: orphan\r\nContent-Length: 1\r\n") + "b");
+      for (int i = 0; i < 2_000 && worker.requests.isEmpty(); i++) {
+        TimeUnit.MILLISECONDS.sleep(1);
+      }
+      Flag claim =
+          new Flag("ask")
+              .with("op", "claim")
+              .with("key", "host h.example\norphan")
+              .with("holder", "peer");
+      Flag told = peer.ask(claim.with("token", "peer"));
+      String token = told.text("run");
+      assertNotNull(token, "the request at work holds the key");
+      answer.countDown();
+      assertEquals(503, status(c.answer()));
+      for (int i = 0; i < 2; i++) {
+        // The first may come before the word that frees it, the second comes after.
+        assertTrue(
+            peer.ask(claim.with("token", token).with("holder", told.text("holder")))
+                .truth("granted"));
+      }
     }
+    worker.script = r -> ScriptedWorker.ok(r, "ran");
+    worker.requests.clear();
+    assertEquals("ran", body(keyed("/k/x", "orphan", 1000)));
+    assertEquals("ran", body(keyed("/k/x", "orphan", 1000)));
+    assertEquals(1, worker.requests.size());
+  }
 
-    /** Whoever answers first ends the wait of the client; the other worker's connection ends with the time it was given. */
-    @Test
-    void silentWorkerIsGivenUpAtTheDeadlineAlsoWhenAnotherAnswered() throws Exception {
-        for (int i = 0; i < 40; i++) {
-            assertEquals(200, status(ask("GET /pair/earns", "", "")));
-        }
-        LinkedBlockingQueue<ScriptedWorker> silent = new LinkedBlockingQueue<>();
-        for (ScriptedWorker w : List.of(left, right)) {
-            w.script = r -> silent.isEmpty() && silent.add(w) ? "" : ScriptedWorker.ok(r, "beside it");
-        }
-        assertEquals("beside it", body(ask("GET /pair/x", "X-Otterpond-Time-Remaining: 1000\r\n", "")));
-        ScriptedWorker hung = silent.remove();
-        assertEquals(1, hung.open.get(), "it is at work, perhaps, until its time is over");
-        for (int i = 0; i < 100 && hung.open.get() > 0; i++) {
-            TimeUnit.MILLISECONDS.sleep(20);
-        }
-        assertEquals(0, hung.open.get());
+  /**
+   * Whoever answers first ends the wait of the client; the other worker's connection ends with the
+   * time it was given.
+   */
+  @Test
+  void silentWorkerIsGivenUpAtTheDeadlineAlsoWhenAnotherAnswered() throws Exception {
+    for (int i = 0; i < 40; i++) {
+      assertEquals(200, status(ask("GET /pair/earns", "", "")));
     }
+    LinkedBlockingQueue<ScriptedWorker> silent = new LinkedBlockingQueue<>();
+    for (ScriptedWorker w : List.of(left, right)) {
+      w.script = r -> silent.isEmpty() && silent.add(w) ? "" : ScriptedWorker.ok(r, "beside it");
+    }
+    assertEquals("beside it", body(ask("GET /pair/x", "X-Otterpond-Time-Remaining: 1000\r\n", "")));
+    ScriptedWorker hung = silent.remove();
+    assertEquals(1, hung.open.get(), "it is at work, perhaps, until its time is over");
+    for (int i = 0; i < 100 && hung.open.get() > 0; i++) {
+      TimeUnit.MILLISECONDS.sleep(20);
+    }
+    assertEquals(0, hung.open.get());
+  }
 
-    /** Speaks to the node as another node would. */
-    private static final class Peer implements AutoCloseable {
-        private final Quay quay = new Quay();
-        private final LinkedBlockingQueue<Flag> replies = new LinkedBlockingQueue<>();
-        private final Links links;
-        private final String node;
-        private long rid;
+  /** Speaks to the node as another node would. */
+  private static final class Peer implements AutoCloseable {
+    private final Quay quay = new Quay();
+    private final LinkedBlockingQueue<Flag> replies = new LinkedBlockingQueue<>();
+    private final Links links;
+    private final String node;
+    private long rid;
 
-        Peer() throws Exception {
-            try (RawClient c = new RawClient(control)) {
-                node = JsonParser.parseString(body(c.send("GET /-/status HTTP/1.1\r\nHost: c\r\n\r\n").answer()))
-                        .getAsJsonObject().getAsJsonArray("nodes").get(0).getAsJsonObject().get("addr").getAsString();
-            }
-            int port;
-            try (ServerSocket s = new ServerSocket(0)) {
-                port = s.getLocalPort();
-            }
-            links = new Links(quay, "127.0.0.1:" + port, (from, f) -> {
+    Peer() throws Exception {
+      try (RawClient c = new RawClient(control)) {
+        node =
+            JsonParser.parseString(
+                    body(c.send("GET /-/status HTTP/1.1\r\nHost: c\r\n\r\n").answer()))
+                .getAsJsonObject()
+                .getAsJsonArray("nodes")
+                .get(0)
+                .getAsJsonObject()
+                .get("addr")
+                .getAsString();
+      }
+      int port;
+      try (ServerSocket s = new ServerSocket(0)) {
+        port = s.getLocalPort();
+      }
+      links =
+          new Links(
+              quay,
+              "127.0.0.1:" + port,
+              (from, f) -> {
                 if (f.kind().equals("reply")) {
-                    replies.add(f);
+                  replies.add(f);
                 }
-            }, (address, neverUp, connection) -> { });
-            Thread t = new Thread(quay, "peer");
-            t.setDaemon(true);
-            t.start();
-        }
+              },
+              (address, neverUp, connection) -> {});
+      Thread t = new Thread(quay, "peer");
+      t.setDaemon(true);
+      t.start();
+    }
 
-        Flag ask(Flag f) throws InterruptedException {
-            f.with("rid", ++rid);
-            quay.execute(() -> links.send(node, f));
-            Flag reply = replies.poll(5, TimeUnit.SECONDS);
-            assertNotNull(reply, "no reply to " + f);
-            return reply;
-        }
+    Flag ask(Flag f) throws InterruptedException {
+      f.with("rid", ++rid);
+      quay.execute(() -> links.send(node, f));
+      Flag reply = replies.poll(5, TimeUnit.SECONDS);
+      assertNotNull(reply, "no reply to " + f);
+      return reply;
+    }
 
-        @Override
-        public void close() {
-            quay.stop();
-        }
+    @Override
+    public void close() {
+      quay.stop();
     }
+  }
 }
--- a/src/test/java/org/otterpond/logbook/NamesAfterPowerLossTest.java
+++ b/src/test/java/org/otterpond/logbook/NamesAfterPowerLossTest.java
@@ -13,148 +13,155 @@
 import org.junit.jupiter.api.io.TempDir;
 import org.otterpond.signal.Flag;
 
-/** What the journals hold after a loss of power that keeps or loses each unsynced name by itself. */
+/**
+ * What the journals hold after a loss of power that keeps or loses each unsynced name by itself.
+ */
 class NamesAfterPowerLossTest {
-    @TempDir
-    private Path tmp;
-    private ForgetfulFolder folder;
+  @TempDir private Path tmp;
+  private ForgetfulFolder folder;
 
-    @BeforeEach
-    void make() throws Exception {
-        folder = new ForgetfulFolder(Files.createDirectory(tmp.resolve("data")));
-    }
+  @BeforeEach
+  void make() throws Exception {
+    folder = new ForgetfulFolder(Files.createDirectory(tmp.resolve("data")));
+  }
 
-    private static Flag record(String n) {
-        return new Flag("r").with("n", n);
-    }
+  private static Flag record(String n) {
+    return new Flag("r").with("n", n);
+  }
 
-    private static List<Flag> records(List<String> names) {
-        return names.stream().map(NamesAfterPowerLossTest::record).toList();
-    }
+  private static List<Flag> records(List<String> names) {
+    return names.stream().map(NamesAfterPowerLossTest::record).toList();
+  }
 
-    /** After every loss of power that can be, the journal has this identity and these records. */
-    private void holds(List<String> names) throws Exception {
-        for (Path p : folder.afterLossesOfPower(tmp)) {
-            List<Flag> read = JournalReading.all(p);
-            assertTrue(!read.isEmpty(), () -> p + " looks blank");
-            assertEquals("disk-1", read.get(0).text("disk"));
-            assertEquals(names, read.subList(1, read.size()).stream().map(f -> f.text("n")).toList());
-        }
+  /** After every loss of power that can be, the journal has this identity and these records. */
+  private void holds(List<String> names) throws Exception {
+    for (Path p : folder.afterLossesOfPower(tmp)) {
+      List<Flag> read = JournalReading.all(p);
+      assertTrue(!read.isEmpty(), () -> p + " looks blank");
+      assertEquals("disk-1", read.get(0).text("disk"));
+      assertEquals(names, read.subList(1, read.size()).stream().map(f -> f.text("n")).toList());
     }
+  }
 
-    @Test
-    void rotatedJournalIsThereWhicheverNamesAreLost() throws Exception {
-        Logbook l = new Logbook(folder);
-        l.open();
-        l.rotate("disk-1", List.of());
-        holds(List.of());
-        List<String> names = new ArrayList<>();
-        for (int i = 0; i < 4; i++) {
-            names.add("a" + i);
-            l.append(List.of(Logbook.frame(record("a" + i))));
-            holds(names);
-            l.rotate("disk-1", records(names));
-            holds(names);
-        }
+  @Test
+  void rotatedJournalIsThereWhicheverNamesAreLost() throws Exception {
+    Logbook l = new Logbook(folder);
+    l.open();
+    l.rotate("disk-1", List.of());
+    holds(List.of());
+    List<String> names = new ArrayList<>();
+    for (int i = 0; i < 4; i++) {
+      names.add("a" + i);
+      l.append(List.of(Logbook.frame(record("a" + i))));
+      holds(names);
+      l.rotate("disk-1", records(names));
+      holds(names);
     }
+  }
 
-    @Test
-    void newFileWhoseFolderIsNotSyncedCountsForNothing() throws Exception {
-        Logbook l = new Logbook(folder);
-        l.open();
-        l.rotate("disk-1", List.of());
-        l.append(List.of(Logbook.frame(record("a"))));
-        folder.failing = true;
-        assertThrows(LogbookException.class, () -> l.rotate("disk-1", records(List.of("a"))));
-        assertThrows(LogbookException.class, () -> l.append(List.of(Logbook.frame(record("b")))));
-        holds(List.of("a"));
-        folder.failing = false;
-        l.rotate("disk-1", records(List.of("a", "c")));
-        l.append(List.of(Logbook.frame(record("d"))));
-        holds(List.of("a", "c", "d"));
-    }
+  @Test
+  void newFileWhoseFolderIsNotSyncedCountsForNothing() throws Exception {
+    Logbook l = new Logbook(folder);
+    l.open();
+    l.rotate("disk-1", List.of());
+    l.append(List.of(Logbook.frame(record("a"))));
+    folder.failing = true;
+    assertThrows(LogbookException.class, () -> l.rotate("disk-1", records(List.of("a"))));
+    assertThrows(LogbookException.class, () -> l.append(List.of(Logbook.frame(record("b")))));
+    holds(List.of("a"));
+    folder.failing = false;
+    l.rotate("disk-1", records(List.of("a", "c")));
+    l.append(List.of(Logbook.frame(record("d"))));
+    holds(List.of("a", "c", "d"));
+  }
 
-    /** The file that a failed rotation left was removed; it must not come back, newer than what is written after. */
-    @Test
-    void leftoverOfAFailedRotationStaysAwayAfterARestart() throws Exception {
-        Logbook l = new Logbook(folder);
-        l.open();
-        l.rotate("disk-1", List.of());
-        folder.failing = true;
-        assertThrows(LogbookException.class, () -> l.rotate("disk-1", List.of()));
-        Logbook refused = new Logbook(folder);
-        refused.open();
-        assertThrows(LogbookException.class, () -> refused.append(List.of(Logbook.frame(record("a")))));
-        folder.failing = false;
-        Logbook again = new Logbook(folder);
-        again.open();
-        again.append(List.of(Logbook.frame(record("a"))));
-        holds(List.of("a"));
-    }
+  /**
+   * The file that a failed rotation left was removed; it must not come back, newer than what is
+   * written after.
+   */
+  @Test
+  void leftoverOfAFailedRotationStaysAwayAfterARestart() throws Exception {
+    Logbook l = new Logbook(folder);
+    l.open();
+    l.rotate("disk-1", List.of());
+    folder.failing = true;
+    assertThrows(LogbookException.class, () -> l.rotate("disk-1", List.of()));
+    Logbook refused = new Logbook(folder);
+    refused.open();
+    assertThrows(LogbookException.class, () -> refused.append(List.of(Logbook.frame(record("a")))));
+    folder.failing = false;
+    Logbook again = new Logbook(folder);
+    again.open();
+    again.append(List.of(Logbook.frame(record("a"))));
+    holds(List.of("a"));
+  }
 
-    @Test
-    void foldersThatWereMissingAreMade() throws Exception {
-        Path deep = tmp.resolve("x/y/z");
-        new Logbook(deep).open();
-        assertTrue(Files.isDirectory(deep));
-    }
+  @Test
+  void foldersThatWereMissingAreMade() throws Exception {
+    Path deep = tmp.resolve("x/y/z");
+    new Logbook(deep).open();
+    assertTrue(Files.isDirectory(deep));
+  }
 
-    private List<List<String>> segmentsAfterLosses() throws Exception {
-        List<List<String>> out = new ArrayList<>();
-        for (Path p : folder.afterLossesOfPower(tmp)) {
-            List<String> seen = new ArrayList<>();
-            new SegmentLog(p).open((f, place) -> seen.add(f.text("n")));
-            out.add(seen);
-        }
-        return out;
+  private List<List<String>> segmentsAfterLosses() throws Exception {
+    List<List<String>> out = new ArrayList<>();
+    for (Path p : folder.afterLossesOfPower(tmp)) {
+      List<String> seen = new ArrayList<>();
+      new SegmentLog(p).open((f, place) -> seen.add(f.text("n")));
+      out.add(seen);
     }
+    return out;
+  }
 
-    private static void segment(SegmentLog log, String n) throws LogbookException {
-        log.begin(List.of(record("head-" + n)));
-        log.append(List.of(SegmentLog.frame(record(n))));
-    }
+  private static void segment(SegmentLog log, String n) throws LogbookException {
+    log.begin(List.of(record("head-" + n)));
+    log.append(List.of(SegmentLog.frame(record(n))));
+  }
 
-    @Test
-    void segmentsAreThereAndNoneComesBackWithoutThoseAfterIt() throws Exception {
-        SegmentLog log = new SegmentLog(folder);
-        log.open((f, place) -> { });
-        List<String> all = new ArrayList<>();
-        for (String n : List.of("a", "b", "c", "d")) {
-            segment(log, n);
-            all.addAll(List.of("head-" + n, n));
-            segmentsAfterLosses().forEach(s -> assertEquals(all, s));
-        }
-        for (int dropped = 1; dropped < 4; dropped++) {
-            folder.failing = dropped == 2;
-            if (folder.failing) {
-                assertThrows(LogbookException.class, log::dropOldest);
-                folder.failing = false;
-            } else {
-                log.dropOldest();
-            }
-            int from = dropped;
-            segmentsAfterLosses().forEach(s -> {
+  @Test
+  void segmentsAreThereAndNoneComesBackWithoutThoseAfterIt() throws Exception {
+    SegmentLog log = new SegmentLog(folder);
+    log.open((f, place) -> {});
+    List<String> all = new ArrayList<>();
+    for (String n : List.of("a", "b", "c", "d")) {
+      segment(log, n);
+      all.addAll(List.of("head-" + n, n));
+      segmentsAfterLosses().forEach(s -> assertEquals(all, s));
+    }
+    for (int dropped = 1; dropped < 4; dropped++) {
+      folder.failing = dropped == 2;
+      if (folder.failing) {
+        assertThrows(LogbookException.class, log::dropOldest);
+        folder.failing = false;
+      } else {
+        log.dropOldest();
+      }
+      int from = dropped;
+      segmentsAfterLosses()
+          .forEach(
+              s -> {
                 assertTrue(s.containsAll(all.subList(2 * from, 8)), s::toString);
                 assertEquals(all.subList(8 - s.size(), 8), s);
-            });
-        }
+              });
     }
+  }
 
-    @Test
-    void segmentWhoseFolderIsNotSyncedCountsForNothing() throws Exception {
-        SegmentLog log = new SegmentLog(folder);
-        log.open((f, place) -> { });
-        segment(log, "a");
-        folder.failing = true;
-        assertThrows(LogbookException.class, () -> log.begin(List.of(record("old-head"))));
-        assertThrows(LogbookException.class, () -> log.append(List.of(SegmentLog.frame(record("b")))));
-        SegmentLog again = new SegmentLog(folder);
-        again.open((f, place) -> { });
-        assertThrows(LogbookException.class, () -> again.append(List.of(SegmentLog.frame(record("b")))));
-        folder.failing = false;
-        SegmentLog last = new SegmentLog(folder);
-        last.open((f, place) -> { });
-        last.append(List.of(SegmentLog.frame(record("b"))));
-        segmentsAfterLosses().forEach(s -> assertEquals(List.of("head-a", "a", "b"), s));
-    }
+  @Test
+  void segmentWhoseFolderIsNotSyncedCountsForNothing() throws Exception {
+    SegmentLog log = new SegmentLog(folder);
+    log.open((f, place) -> {});
+    segment(log, "a");
+    folder.failing = true;
+    assertThrows(LogbookException.class, () -> log.begin(List.of(record("old-head"))));
+    assertThrows(LogbookException.class, () -> log.append(List.of(SegmentLog.frame(record("b")))));
+    SegmentLog again = new SegmentLog(folder);
+    again.open((f, place) -> {});
+    assertThrows(
+        LogbookException.class, () -> again.append(List.of(SegmentLog.frame(record("b")))));
+    folder.failing = false;
+    SegmentLog last = new SegmentLog(folder);
+    last.open((f, place) -> {});
+    last.append(List.of(SegmentLog.frame(record("b"))));
+    segmentsAfterLosses().forEach(s -> assertEquals(List.of("head-a", "a", "b"), s));
+  }
 }
--- a/src/test/java/org/otterpond/logbook/SegmentLogTest.java
+++ b/src/test/java/org/otterpond/logbook/SegmentLogTest.java
@@ -16,79 +16,85 @@
 import org.junit.jupiter.api.io.TempDir;
 import org.otterpond.signal.Flag;
 
-/** The segmented journal: what was answered is read back, by place and in order, whatever the last write left. */
+/**
+ * The segmented journal: what was answered is read back, by place and in order, whatever the last
+ * write left.
+ */
 class SegmentLogTest {
-    @TempDir
-    private Path folder;
+  @TempDir private Path folder;
 
-    private static List<byte[]> frames(String... names) {
-        List<byte[]> out = new ArrayList<>();
-        for (String n : names) {
-            out.add(SegmentLog.frame(new Flag("r").with("n", n)));
-        }
-        return out;
+  private static List<byte[]> frames(String... names) {
+    List<byte[]> out = new ArrayList<>();
+    for (String n : names) {
+      out.add(SegmentLog.frame(new Flag("r").with("n", n)));
     }
+    return out;
+  }
 
-    private static SegmentLog opened(Path folder, List<String> seen) throws LogbookException {
-        SegmentLog log = new SegmentLog(folder);
-        log.open((f, place) -> seen.add(f.text("n")));
-        return log;
-    }
+  private static SegmentLog opened(Path folder, List<String> seen) throws LogbookException {
+    SegmentLog log = new SegmentLog(folder);
+    log.open((f, place) -> seen.add(f.text("n")));
+    return log;
+  }
 
-    @Test
-    void placesAreReadBackAcrossSegmentsAndStarts() throws LogbookException {
-        SegmentLog log = opened(folder, new ArrayList<>());
-        log.begin(List.of(new Flag("head").with("n", "h1")));
-        long[] a = log.append(frames("a", "b"));
-        log.begin(List.of(new Flag("head").with("n", "h2")));
-        long[] c = log.append(frames("c"));
-        List<String> seen = new ArrayList<>();
-        SegmentLog again = opened(folder, seen);
-        assertEquals(List.of("h1", "a", "b", "h2", "c"), seen);
-        assertEquals("b", again.read(a[1]).text("n"));
-        assertEquals("c", again.read(c[0]).text("n"));
-        assertTrue(SegmentLog.segmentOf(a[0]) < SegmentLog.segmentOf(c[0]));
-        again.dropOldest();
-        assertNull(again.read(a[1]));
-        assertEquals("c", again.read(c[0]).text("n"));
-        again.dropOldest();
-        assertEquals("c", again.read(c[0]).text("n"), "the newest never goes");
-    }
+  @Test
+  void placesAreReadBackAcrossSegmentsAndStarts() throws LogbookException {
+    SegmentLog log = opened(folder, new ArrayList<>());
+    log.begin(List.of(new Flag("head").with("n", "h1")));
+    long[] a = log.append(frames("a", "b"));
+    log.begin(List.of(new Flag("head").with("n", "h2")));
+    long[] c = log.append(frames("c"));
+    List<String> seen = new ArrayList<>();
+    SegmentLog again = opened(folder, seen);
+    assertEquals(List.of("h1", "a", "b", "h2", "c"), seen);
+    assertEquals("b", again.read(a[1]).text("n"));
+    assertEquals("c", again.read(c[0]).text("n"));
+    assertTrue(SegmentLog.segmentOf(a[0]) < SegmentLog.segmentOf(c[0]));
+    again.dropOldest();
+    assertNull(again.read(a[1]));
+    assertEquals("c", again.read(c[0]).text("n"));
+    again.dropOldest();
+    assertEquals("c", again.read(c[0]).text("n"), "the newest never goes");
+  }
 
-    /** A loss of power may leave any head of the last write: all before it stays, nothing of it looks whole. */
-    @Test
-    void lastWriteTornAnywhereLeavesAllBeforeIt() throws LogbookException, IOException {
-        SegmentLog log = opened(folder, new ArrayList<>());
-        log.begin(List.of(new Flag("head").with("n", "h")));
-        log.append(frames("a"));
-        long whole = log.newestSize();
-        log.append(frames("torn"));
-        long full = log.newestSize();
-        Path file = folder.resolve("seg-1");
-        for (long size = full - 1; size >= whole; size--) {
-            try (FileChannel c = FileChannel.open(file, StandardOpenOption.WRITE)) {
-                c.truncate(size);
-            }
-            List<String> seen = new ArrayList<>();
-            SegmentLog again = opened(folder, seen);
-            assertEquals(List.of("h", "a"), seen);
-            assertEquals(whole, again.newestSize());
-        }
-        SegmentLog last = opened(folder, new ArrayList<>());
-        last.append(frames("next"));
-        List<String> seen = new ArrayList<>();
-        opened(folder, seen);
-        assertEquals(List.of("h", "a", "next"), seen);
+  /**
+   * A loss of power may leave any head of the last write: all before it stays, nothing of it looks
+   * whole.
+   */
+  @Test
+  void lastWriteTornAnywhereLeavesAllBeforeIt() throws LogbookException, IOException {
+    SegmentLog log = opened(folder, new ArrayList<>());
+    log.begin(List.of(new Flag("head").with("n", "h")));
+    log.append(frames("a"));
+    long whole = log.newestSize();
+    log.append(frames("torn"));
+    long full = log.newestSize();
+    Path file = folder.resolve("seg-1");
+    for (long size = full - 1; size >= whole; size--) {
+      try (FileChannel c = FileChannel.open(file, StandardOpenOption.WRITE)) {
+        c.truncate(size);
+      }
+      List<String> seen = new ArrayList<>();
+      SegmentLog again = opened(folder, seen);
+      assertEquals(List.of("h", "a"), seen);
+      assertEquals(whole, again.newestSize());
     }
+    SegmentLog last = opened(folder, new ArrayList<>());
+    last.append(frames("next"));
+    List<String> seen = new ArrayList<>();
+    opened(folder, seen);
+    assertEquals(List.of("h", "a", "next"), seen);
+  }
 
-    /** The tests run with 4 MB for all buffers outside the heap. */
-    @Test
-    void longRecordsNeedLittleRoomOutsideTheHeap() throws LogbookException {
-        byte[] body = new byte[7 << 20];
-        new Random(1).nextBytes(body);
-        SegmentLog log = opened(folder, new ArrayList<>());
-        log.begin(List.of(new Flag("head").with("n", "h1")));
-        long[] places = log.append(List.of(SegmentLog.frame(new Flag("r").with("n", "a").with("body", body))));
-        assertArrayEquals(body, log.read(places[0]).bytes("body"));
-    }
+  /** The tests run with 4 MB for all buffers outside the heap. */
+  @Test
+  void longRecordsNeedLittleRoomOutsideTheHeap() throws LogbookException {
+    byte[] body = new byte[7 << 20];
+    new Random(1).nextBytes(body);
+    SegmentLog log = opened(folder, new ArrayList<>());
+    log.begin(List.of(new Flag("head").with("n", "h1")));
+    long[] places =
+        log.append(List.of(SegmentLog.frame(new Flag("r").with("n", "a").with("body", body))));
+    assertArrayEquals(body, log.read(places[0]).bytes("body"));
+  }
 }
--- a/src/test/java/org/otterpond/sim/ChangesToNodesTest.java
+++ b/src/test/java/org/otterpond/sim/ChangesToNodesTest.java
@@ -8,71 +8,93 @@
 import org.otterpond.signal.Bale;
 import org.otterpond.signal.Flag;
 
-/** A node some versions behind is sent the changes in their order, and the whole text only if it cannot use them. */
+/**
+ * A node some versions behind is sent the changes in their order, and the whole text only if it
+ * cannot use them.
+ */
 class ChangesToNodesTest {
-    private static final long S = 1_000_000;
-    private static final int SERVICES = 2_000;
+  private static final long S = 1_000_000;
+  private static final int SERVICES = 2_000;
 
-    /** Some 2,000 services under names that do not pack into nothing. */
-    private static SimFleet configured() {
-        SimFleet f = new SimFleet(601, 3, 3, 1);
-        StringBuilder s = new StringBuilder("[");
-        for (int i = 0; i < SERVICES; i++) {
-            s.append(i == 0 ? "" : ",").append("{\"name\":\"s").append(Long.toHexString(i * 0x9e3779b97f4a7c15L))
-                    .append("\"}");
-        }
-        f.services = s.append("]").toString();
-        f.world.run(9 * S);
-        assertNotNull(f.leader(), () -> f.tail());
-        f.change(() -> { });
-        f.world.run(2 * S);
-        assertEquals(1, f.checker.acknowledgements);
-        return f;
+  /** Some 2,000 services under names that do not pack into nothing. */
+  private static SimFleet configured() {
+    SimFleet f = new SimFleet(601, 3, 3, 1);
+    StringBuilder s = new StringBuilder("[");
+    for (int i = 0; i < SERVICES; i++) {
+      s.append(i == 0 ? "" : ",")
+          .append("{\"name\":\"s")
+          .append(Long.toHexString(i * 0x9e3779b97f4a7c15L))
+          .append("\"}");
     }
+    f.services = s.append("]").toString();
+    f.world.run(9 * S);
+    assertNotNull(f.leader(), () -> f.tail());
+    f.change(() -> {});
+    f.world.run(2 * S);
+    assertEquals(1, f.checker.acknowledgements);
+    return f;
+  }
 
-    private static long modified(SimFleet f, long base, int times) {
-        for (int i = 0; i < times; i++) {
-            long from = base + i;
-            f.world.at(i * 100_000L, () -> f.leader().node.ask(new Flag("ask").with("op", "write").with("kind", "modify")
-                    .with("base", from).with("text", Bale.pack("{\"revision\":" + (from + 1)
-                    + ",\"upsert_items\":{\"service_table\":[{\"name\":\"added-" + from + "\"}]}}")),
-                    900_000, 250_000, r -> assertEquals(200, r.number("status"), () -> r.text("cause"))));
-        }
-        f.world.run(times * 100_000L + S);
-        return base + times;
+  private static long modified(SimFleet f, long base, int times) {
+    for (int i = 0; i < times; i++) {
+      long from = base + i;
+      f.world.at(
+          i * 100_000L,
+          () ->
+              f.leader()
+                  .node
+                  .ask(
+                      new Flag("ask")
+                          .with("op", "write")
+                          .with("kind", "modify")
+                          .with("base", from)
+                          .with(
+                              "text",
+                              Bale.pack(
+                                  "{\"revision\":"
+                                      + (from + 1)
+                                      + ",\"upsert_items\":{\"service_table\":[{\"name\":\"added-"
+                                      + from
+                                      + "\"}]}}")),
+                      900_000,
+                      250_000,
+                      r -> assertEquals(200, r.number("status"), () -> r.text("cause"))));
     }
+    f.world.run(times * 100_000L + S);
+    return base + times;
+  }
 
-    @Test
-    void nodeThatMissedAFewChangesIsSentThese() {
-        SimFleet f = configured();
-        SimNode away = f.world.nodes.get("n3:1");
-        long base = away.node.revision();
-        f.world.cutOff(away.address);
-        long newest = modified(f, base, 6);
-        assertEquals(base, away.node.revision());
-        f.world.heal();
-        long before = f.world.traffic.get(away.address)[1];
-        f.world.run(2 * S);
-        assertEquals(newest, away.node.revision());
-        assertEquals(SERVICES + 6, away.configuration.services().size());
-        long bytes = f.world.traffic.get(away.address)[1] - before;
-        assertTrue(bytes < 15_000, () -> bytes + " bytes for six small changes");
-    }
+  @Test
+  void nodeThatMissedAFewChangesIsSentThese() {
+    SimFleet f = configured();
+    SimNode away = f.world.nodes.get("n3:1");
+    long base = away.node.revision();
+    f.world.cutOff(away.address);
+    long newest = modified(f, base, 6);
+    assertEquals(base, away.node.revision());
+    f.world.heal();
+    long before = f.world.traffic.get(away.address)[1];
+    f.world.run(2 * S);
+    assertEquals(newest, away.node.revision());
+    assertEquals(SERVICES + 6, away.configuration.services().size());
+    long bytes = f.world.traffic.get(away.address)[1] - before;
+    assertTrue(bytes < 15_000, () -> bytes + " bytes for six small changes");
+  }
 
-    @Test
-    void nodeThatMissedMoreThanTheLogHoldsIsSentTheWhole() {
-        SimFleet f = configured();
-        SimNode away = f.world.nodes.get("n3:1");
-        long base = away.node.revision();
-        f.world.cutOff(away.address);
-        long newest = modified(f, base, 40);
-        f.world.heal();
-        f.world.run(2 * S);
-        assertEquals(newest, away.node.revision());
-        assertEquals(SERVICES + 40, away.configuration.services().size());
-        away.kill();
-        away.start();
-        f.world.run(S);
-        assertEquals(newest, away.node.revision(), "a node that holds nothing");
-    }
+  @Test
+  void nodeThatMissedMoreThanTheLogHoldsIsSentTheWhole() {
+    SimFleet f = configured();
+    SimNode away = f.world.nodes.get("n3:1");
+    long base = away.node.revision();
+    f.world.cutOff(away.address);
+    long newest = modified(f, base, 40);
+    f.world.heal();
+    f.world.run(2 * S);
+    assertEquals(newest, away.node.revision());
+    assertEquals(SERVICES + 40, away.configuration.services().size());
+    away.kill();
+    away.start();
+    f.world.run(S);
+    assertEquals(newest, away.node.revision(), "a node that holds nothing");
+  }
 }
--- a/src/test/java/org/otterpond/sim/OrdersTest.java
+++ b/src/test/java/org/otterpond/sim/OrdersTest.java
@@ -14,128 +14,175 @@
 import org.otterpond.signal.Bale;
 import org.otterpond.signal.Flag;
 
-/** Orders that come again, and orders that meet a primary which does not know yet that it is one no more. */
+/**
+ * Orders that come again, and orders that meet a primary which does not know yet that it is one no
+ * more.
+ */
 class OrdersTest {
-    private static final long S = 1_000_000;
-    /** An address at which nobody listens: what is sent there is only counted. */
-    private static final String PROBE = "probe:1";
+  private static final long S = 1_000_000;
 
-    private static SimFleet founded(long seed, int disks, int faults) {
-        SimFleet f = new SimFleet(seed, disks, 4, faults);
-        f.world.run(9 * S);
-        assertNotNull(f.leader(), f::tail);
-        return f;
-    }
+  /** An address at which nobody listens: what is sent there is only counted. */
+  private static final String PROBE = "probe:1";
 
-    private static Flag order(long base, long revision, String name) {
-        return new Flag("ask").with("op", "write").with("kind", "replace").with("base", base).with("text",
-                Bale.pack("{\"revision\":" + revision + ",\"route_table\":[],\"service_table\":[{\"name\":\"" + name
-                        + "\"}]}"));
-    }
+  private static SimFleet founded(long seed, int disks, int faults) {
+    SimFleet f = new SimFleet(seed, disks, 4, faults);
+    f.world.run(9 * S);
+    assertNotNull(f.leader(), f::tail);
+    return f;
+  }
 
-    /** The answer to an order given at a node, or 0 if none is clear. */
-    private int give(SimFleet f, SimNode at, Flag order) {
-        int[] status = {0};
-        at.node.ask(order, 900_000, 250_000, r -> status[0] = r == null ? 0 : (int) r.number("status"));
-        f.world.run(S);
-        return status[0];
-    }
+  private static Flag order(long base, long revision, String name) {
+    return new Flag("ask")
+        .with("op", "write")
+        .with("kind", "replace")
+        .with("base", base)
+        .with(
+            "text",
+            Bale.pack(
+                "{\"revision\":"
+                    + revision
+                    + ",\"route_table\":[],\"service_table\":[{\"name\":\""
+                    + name
+                    + "\"}]}"));
+  }
 
-    private static void sendMany(SimFleet f, long from, int count) {
-        SimNode at = f.world.nodes.get("n1:1");
-        for (long base = from; base < from + count; base++) {
-            f.checker.sent(base + 1);
-            int[] status = {0};
-            at.node.ask(order(base, base + 1, "s" + base), 900_000, 250_000,
-                    r -> status[0] = r == null ? 0 : (int) r.number("status"));
-            for (int i = 0; i < 40 && status[0] == 0; i++) {
-                f.world.run(25_000);
-            }
-            assertEquals(200, status[0], f::tail);
-        }
+  /** The answer to an order given at a node, or 0 if none is clear. */
+  private int give(SimFleet f, SimNode at, Flag order) {
+    int[] status = {0};
+    at.node.ask(order, 900_000, 250_000, r -> status[0] = r == null ? 0 : (int) r.number("status"));
+    f.world.run(S);
+    return status[0];
+  }
+
+  private static void sendMany(SimFleet f, long from, int count) {
+    SimNode at = f.world.nodes.get("n1:1");
+    for (long base = from; base < from + count; base++) {
+      f.checker.sent(base + 1);
+      int[] status = {0};
+      at.node.ask(
+          order(base, base + 1, "s" + base),
+          900_000,
+          250_000,
+          r -> status[0] = r == null ? 0 : (int) r.number("status"));
+      for (int i = 0; i < 40 && status[0] == 0; i++) {
+        f.world.run(25_000);
+      }
+      assertEquals(200, status[0], f::tail);
     }
+  }
 
-    @Test
-    void orderThatWasTakenIsConfirmedAgainAfterHundredsOfOthersAndALossOfAllPower() {
-        SimFleet f = founded(301, 4, 1);
-        sendMany(f, 0, 600);
-        SimNode at = f.world.nodes.get("n2:1");
-        for (int round = 0; round < 2; round++) {
-            assertEquals(200, give(f, at, order(0, 1, "s0")));
-            assertEquals(200, give(f, at, order(535, 536, "s535")));
-            assertEquals(412, give(f, at, order(0, 1, "another")), "the same number, another change");
-            assertEquals(412, give(f, at, order(1, 2, "s0")), "the same contents on another base");
-            f.all.forEach(SimNode::losePower);
-            f.world.run(S);
-            f.all.forEach(SimNode::start);
-            f.world.run(4 * S);
-        }
-        assertEquals(List.of(), f.checker.broken, f::tail);
+  @Test
+  void orderThatWasTakenIsConfirmedAgainAfterHundredsOfOthersAndALossOfAllPower() {
+    SimFleet f = founded(301, 4, 1);
+    sendMany(f, 0, 600);
+    SimNode at = f.world.nodes.get("n2:1");
+    for (int round = 0; round < 2; round++) {
+      assertEquals(200, give(f, at, order(0, 1, "s0")));
+      assertEquals(200, give(f, at, order(535, 536, "s535")));
+      assertEquals(412, give(f, at, order(0, 1, "another")), "the same number, another change");
+      assertEquals(412, give(f, at, order(1, 2, "s0")), "the same contents on another base");
+      f.all.forEach(SimNode::losePower);
+      f.world.run(S);
+      f.all.forEach(SimNode::start);
+      f.world.run(4 * S);
     }
+    assertEquals(List.of(), f.checker.broken, f::tail);
+  }
 
-    /**
-     * A primary stands still while another leads and takes changes, and reads its sockets first when it wakes: it gives
-     * no verdict by what it held. What it does not answer is asked again of whoever leads, and taken.
-     */
-    @ParameterizedTest
-    @ValueSource(longs = {311, 312, 313, 314, 315, 316})
-    void primaryThatWakesAnswersNothingByOldState(long seed) {
-        SimFleet f = founded(seed, seed % 2 == 0 ? 4 : 5, seed % 2 == 0 ? 1 : 2);
-        sendMany(f, 0, 3);
-        SimNode before = f.leader();
-        before.node.ask(new Flag("ask").with("op", "claim").with("key", "k").with("token", "t").with("holder", "h"),
-                600_000, 200_000, r -> { });
-        f.world.run(f.world.random.nextInt(700_000));
-        before.freeze();
-        f.world.run(3 * S + f.world.random.nextInt(2_000_000));
-        SimNode after = f.leader();
-        assertNotNull(after, f::tail);
-        assertNotSame(before, after);
-        sendMany(f, 3, 2);
-        assertTrue(before.node.leading(), "it cannot know yet");
-        for (Flag ask : List.of(order(5, 6, "next"), order(3, 5, "low"), order(3, 2, "lower"), order(0, 1, "s0"),
-                new Flag("ask").with("op", "read"), new Flag("ask").with("op", "retire").with("node", "store"),
-                new Flag("ask").with("op", "retired").with("node", "store"),
-                new Flag("ask").with("op", "beats").withFlags("beats", List.of()),
-                new Flag("ask").with("op", "claim").with("key", "k").with("token", "t").with("holder", "h"),
-                new Flag("ask").with("op", "claim").with("key", "k").with("token", "t2").with("holder", "h2"),
-                new Flag("ask").with("op", "free").with("key", "k3").with("token", "t3"))) {
-            before.node.onMessage(PROBE, ask.with("rid", 1));
-        }
-        before.thaw();
-        f.world.run(2 * S);
-        assertFalse(before.node.leading());
-        assertNull(f.world.traffic.get(PROBE), () -> "it said something\n" + f.tail());
-        f.checker.sent(6);
-        assertEquals(200, give(f, before, order(5, 6, "next")), f::tail);
-        assertEquals(List.of(), f.checker.broken, f::tail);
+  /**
+   * A primary stands still while another leads and takes changes, and reads its sockets first when
+   * it wakes: it gives no verdict by what it held. What it does not answer is asked again of
+   * whoever leads, and taken.
+   */
+  @ParameterizedTest
+  @ValueSource(longs = {311, 312, 313, 314, 315, 316})
+  void primaryThatWakesAnswersNothingByOldState(long seed) {
+    SimFleet f = founded(seed, seed % 2 == 0 ? 4 : 5, seed % 2 == 0 ? 1 : 2);
+    sendMany(f, 0, 3);
+    SimNode before = f.leader();
+    before.node.ask(
+        new Flag("ask").with("op", "claim").with("key", "k").with("token", "t").with("holder", "h"),
+        600_000,
+        200_000,
+        r -> {});
+    f.world.run(f.world.random.nextInt(700_000));
+    before.freeze();
+    f.world.run(3 * S + f.world.random.nextInt(2_000_000));
+    SimNode after = f.leader();
+    assertNotNull(after, f::tail);
+    assertNotSame(before, after);
+    sendMany(f, 3, 2);
+    assertTrue(before.node.leading(), "it cannot know yet");
+    for (Flag ask :
+        List.of(
+            order(5, 6, "next"),
+            order(3, 5, "low"),
+            order(3, 2, "lower"),
+            order(0, 1, "s0"),
+            new Flag("ask").with("op", "read"),
+            new Flag("ask").with("op", "retire").with("node", "store"),
+            new Flag("ask").with("op", "retired").with("node", "store"),
+            new Flag("ask").with("op", "beats").withFlags("beats", List.of()),
+            new Flag("ask")
+                .with("op", "claim")
+                .with("key", "k")
+                .with("token", "t")
+                .with("holder", "h"),
+            new Flag("ask")
+                .with("op", "claim")
+                .with("key", "k")
+                .with("token", "t2")
+                .with("holder", "h2"),
+            new Flag("ask").with("op", "free").with("key", "k3").with("token", "t3"))) {
+      before.node.onMessage(PROBE, ask.with("rid", 1));
     }
+    before.thaw();
+    f.world.run(2 * S);
+    assertFalse(before.node.leading());
+    assertNull(f.world.traffic.get(PROBE), () -> "it said something\n" + f.tail());
+    f.checker.sent(6);
+    assertEquals(200, give(f, before, order(5, 6, "next")), f::tail);
+    assertEquals(List.of(), f.checker.broken, f::tail);
+  }
 
-    /** The proof costs one exchange at a time, however many wait for it, and a lost question is made good. */
-    @Test
-    void manyWhoAskAtOnceShareTheProofs() {
-        SimFleet f = founded(321, 4, 1);
-        sendMany(f, 0, 1);
-        SimNode leader = f.leader();
-        f.world.run(S);
-        long before = f.world.traffic.get(leader.address)[0];
-        int[] read = {0};
-        for (int i = 0; i < 200; i++) {
-            leader.node.ask(new Flag("ask").with("op", "read"), 900_000, 950_000, r -> read[0] += r == null ? 0 : 1);
-        }
-        f.world.run(S);
-        assertEquals(200, read[0]);
-        // Each ask and answer goes through the simulated network though it stays on the machine.
-        long proofs = f.world.traffic.get(leader.address)[0] - before - 4 * 200;
-        assertTrue(proofs < 100, () -> proofs + " messages beside the asks themselves in a second");
-        f.world.loss = 0.2;
-        int[] clear = {0};
-        for (int i = 0; i < 50; i++) {
-            f.world.nodes.get("n" + (i % 4 + 1) + ":1").node.ask(new Flag("ask").with("op", "read"), 900_000, 100_000,
-                    r -> clear[0] += r == null ? 0 : 1);
-            f.world.run(100_000);
-        }
-        f.world.run(S);
-        assertTrue(clear[0] >= 40, () -> clear[0] + " of 50 reads with a fifth of all messages lost\n" + f.tail());
+  /**
+   * The proof costs one exchange at a time, however many wait for it, and a lost question is made
+   * good.
+   */
+  @Test
+  void manyWhoAskAtOnceShareTheProofs() {
+    SimFleet f = founded(321, 4, 1);
+    sendMany(f, 0, 1);
+    SimNode leader = f.leader();
+    f.world.run(S);
+    long before = f.world.traffic.get(leader.address)[0];
+    int[] read = {0};
+    for (int i = 0; i < 200; i++) {
+      leader.node.ask(
+          new Flag("ask").with("op", "read"), 900_000, 950_000, r -> read[0] += r == null ? 0 : 1);
+    }
+    f.world.run(S);
+    assertEquals(200, read[0]);
+    // Each ask and answer goes through the simulated network though it stays on the machine.
+    long proofs = f.world.traffic.get(leader.address)[0] - before - 4 * 200;
+    assertTrue(proofs < 100, () -> proofs + " messages beside the asks themselves in a second");
+    f.world.loss = 0.2;
+    int[] clear = {0};
+    for (int i = 0; i < 50; i++) {
+      f.world
+          .nodes
+          .get("n" + (i % 4 + 1) + ":1")
+          .node
+          .ask(
+              new Flag("ask").with("op", "read"),
+              900_000,
+              100_000,
+              r -> clear[0] += r == null ? 0 : 1);
+      f.world.run(100_000);
     }
+    f.world.run(S);
+    assertTrue(
+        clear[0] >= 40,
+        () -> clear[0] + " of 50 reads with a fifth of all messages lost\n" + f.tail());
+  }
 }
