--- a/src/main/java/org/otterpond/client/ConfigCommand.java
+++ b/src/main/java/org/otterpond/cli/ConfigCommand.java
@@ -1,4 +1,4 @@
-package org.otterpond.client;
+package org.otterpond.cli;
 
 import com.google.gson.Gson;
 import com.google.gson.GsonBuilder;
@@ -7,10 +7,11 @@
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
 import java.nio.file.Path;
-import org.otterpond.chart.ChartException;
-import org.otterpond.chart.Configuration;
-import org.otterpond.chart.ConfigurationReader;
-import org.otterpond.chart.Fields;
+import org.otterpond.client.ControlApiException;
+import org.otterpond.config.ConfigException;
+import org.otterpond.config.ConfigurationParser;
+import org.otterpond.config.GatewayConfiguration;
+import org.otterpond.config.JsonFields;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Mixin;
 import picocli.CommandLine.Option;
@@ -29,8 +30,8 @@
       name = "get",
       description = "Prints the newest configuration, whole.",
       mixinStandardHelpOptions = true)
-  int get(@Mixin Connection at) throws ClientException, ChartException {
-    System.out.println(PRETTY.toJson(Fields.parse(at.open().get("/-/Configuration.Read"))));
+  int get(@Mixin NodeOption at) throws ControlApiException, ConfigException {
+    System.out.println(PRETTY.toJson(JsonFields.parse(at.open().get("/-/Configuration.Read"))));
     return 0;
   }
 
@@ -39,7 +40,7 @@
       description = "Puts a whole configuration in place of the current one.",
       mixinStandardHelpOptions = true)
   int replace(
-      @Mixin Connection at,
+      @Mixin NodeOption at,
       @Parameters(paramLabel = "FILE") Path file,
       @Option(
               names = "--base",
@@ -47,9 +48,9 @@
               paramLabel = "REVISION",
               description = "The revision it builds on; 0 for the first.")
           long base)
-      throws ClientException, ChartException {
+      throws ControlApiException, ConfigException {
     JsonObject whole = read(file);
-    ConfigurationReader.read(whole);
+    ConfigurationParser.read(whole);
     return send(at, "/-/Configuration.Replace", whole, base);
   }
 
@@ -58,7 +59,7 @@
       description = "Changes named items of the configuration.",
       mixinStandardHelpOptions = true)
   int modify(
-      @Mixin Connection at,
+      @Mixin NodeOption at,
       @Parameters(paramLabel = "FILE") Path file,
       @Option(
               names = "--base",
@@ -66,7 +67,7 @@
               paramLabel = "REVISION",
               description = "The revision it builds on.")
           long base)
-      throws ClientException, ChartException {
+      throws ControlApiException, ConfigException {
     return send(at, "/-/Configuration.Modify", read(file), base);
   }
 
@@ -74,23 +75,23 @@
       name = "validate",
       description = "Checks a whole configuration without sending it.",
       mixinStandardHelpOptions = true)
-  int validate(@Parameters(paramLabel = "FILE") Path file) throws ChartException {
-    Configuration c = ConfigurationReader.read(read(file));
+  int validate(@Parameters(paramLabel = "FILE") Path file) throws ConfigException {
+    GatewayConfiguration c = ConfigurationParser.read(read(file));
     System.out.println(
         "valid: revision " + c.revision() + ", " + c.services().size() + " services");
     return 0;
   }
 
-  private static JsonObject read(Path file) throws ChartException {
+  private static JsonObject read(Path file) throws ConfigException {
     try {
-      return Fields.parse(Files.readString(file, StandardCharsets.UTF_8));
+      return JsonFields.parse(Files.readString(file, StandardCharsets.UTF_8));
     } catch (IOException e) {
-      throw new ChartException(file + ": not readable");
+      throw new ConfigException(file + ": not readable");
     }
   }
 
-  private static int send(Connection at, String path, JsonObject body, long base)
-      throws ClientException {
+  private static int send(NodeOption at, String path, JsonObject body, long base)
+      throws ControlApiException {
     at.open().post(path, body.toString(), base);
     System.out.println("taken: revision " + body.get("revision"));
     return 0;
--- a/src/main/java/org/otterpond/client/MessageCommand.java
+++ b/src/main/java/org/otterpond/cli/MessageCommand.java
@@ -1,9 +1,10 @@
-package org.otterpond.client;
+package org.otterpond.cli;
 
 import java.util.HashMap;
 import java.util.Map;
-import org.otterpond.chart.ChartException;
-import org.otterpond.chart.Fields;
+import org.otterpond.client.ControlApiException;
+import org.otterpond.config.ConfigException;
+import org.otterpond.config.JsonFields;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Mixin;
 import picocli.CommandLine.Option;
@@ -19,9 +20,10 @@
       name = "state",
       description = "Prints queued, completed (with the run's stamp) or dead_letter.",
       mixinStandardHelpOptions = true)
-  int state(@Mixin Connection at, @Parameters(paramLabel = "ID") String id, @Mixin Whose whose)
-      throws ClientException, ChartException {
-    Fields f = Fields.of(Fields.parse(at.open().get("/-/message/" + id, whose.headers())), "");
+  int state(@Mixin NodeOption at, @Parameters(paramLabel = "ID") String id, @Mixin Whose whose)
+      throws ControlApiException, ConfigException {
+    JsonFields f =
+        JsonFields.of(JsonFields.parse(at.open().get("/-/message/" + id, whose.headers())), "");
     System.out.println(f.text("state") + (f.has("timestamp") ? " " + f.text("timestamp") : ""));
     return 0;
   }
@@ -30,8 +32,8 @@
       name = "body",
       description = "Prints the bytes of a message that is queued or dead.",
       mixinStandardHelpOptions = true)
-  int body(@Mixin Connection at, @Parameters(paramLabel = "ID") String id, @Mixin Whose whose)
-      throws ClientException {
+  int body(@Mixin NodeOption at, @Parameters(paramLabel = "ID") String id, @Mixin Whose whose)
+      throws ControlApiException {
     System.out.print(at.open().get("/-/message-body/" + id, whose.headers()));
     return 0;
   }
--- a/src/main/java/org/otterpond/client/Connection.java
+++ b/src/main/java/org/otterpond/cli/NodeOption.java
@@ -1,10 +1,11 @@
-package org.otterpond.client;
+package org.otterpond.cli;
 
 import java.util.List;
+import org.otterpond.client.ControlApiClient;
 import picocli.CommandLine.Option;
 
 /** Where to call; shared by all commands that call. */
-final class Connection {
+final class NodeOption {
   @Option(
       names = {"-n", "--node"},
       required = true,
@@ -13,7 +14,7 @@
       description = "Control points to call, tried in this order until one gives a clear answer.")
   private List<String> nodes;
 
-  ControlCall open() {
-    return new ControlCall(nodes);
+  ControlApiClient open() {
+    return new ControlApiClient(nodes);
   }
 }
--- a/src/main/java/org/otterpond/Otterpond.java
+++ b/src/main/java/org/otterpond/cli/Otterpond.java
@@ -1,14 +1,12 @@
-package org.otterpond;
+package org.otterpond.cli;
 
 import java.io.IOException;
 import java.nio.file.Path;
-import org.otterpond.chart.ChartException;
-import org.otterpond.chart.Settings;
-import org.otterpond.client.Client;
-import org.otterpond.drill.Rehearsal;
-import org.otterpond.keel.Keel;
-import org.otterpond.logbook.LogbookException;
-import sun.misc.Signal;
+import org.otterpond.config.ConfigException;
+import org.otterpond.config.NodeSettings;
+import org.otterpond.server.NodeServer;
+import org.otterpond.storage.StorageException;
+import org.otterpond.tools.SelfTest;
 
 /** The program: a node, or the operators' client. */
 public final class Otterpond {
@@ -20,10 +18,10 @@
     if (args.length == 1 && args[0].equals("node")) {
       System.exit(node());
     }
-    if (args.length == 1 && args[0].equals("rehearse")) {
-      System.exit(Rehearsal.run());
+    if (args.length == 1 && args[0].equals("self-test")) {
+      System.exit(SelfTest.run());
     }
-    System.exit(Client.execute(args));
+    System.exit(OtterpondCommand.execute(args));
   }
 
   private static int node() {
@@ -32,10 +30,10 @@
       System.err.println("event=settings_invalid cause=\"OTTERPOND_CONFIG: not set\"");
       return BAD_SETTINGS;
     }
-    Settings settings;
+    NodeSettings settings;
     try {
-      settings = Settings.load(Path.of(path));
-    } catch (ChartException e) {
+      settings = NodeSettings.load(Path.of(path));
+    } catch (ConfigException e) {
       System.err.println("event=settings_invalid cause=\"" + e.getMessage() + "\"");
       return BAD_SETTINGS;
     }
@@ -43,14 +41,19 @@
     System.setProperty("org.slf4j.simpleLogger.showThreadName", "false");
     System.setProperty("org.slf4j.simpleLogger.showShortLogName", "true");
     try {
-      Keel keel = new Keel(Path.of(path), settings);
-      Signal.handle(new Signal("TERM"), s -> keel.leave());
-      Signal.handle(new Signal("HUP"), s -> keel.reload());
-      keel.run();
+      NodeServer server = new NodeServer(Path.of(path), settings);
+      handleSignals(server);
+      server.run();
       return 0;
-    } catch (IOException | LogbookException e) {
+    } catch (IOException | StorageException e) {
       System.err.println("event=start_failed cause=\"" + e + "\"");
       return 1;
     }
   }
+
+  /** Registers the handlers of SIGTERM and SIGHUP, for which the JDK has no other interface. */
+  private static void handleSignals(NodeServer server) {
+    sun.misc.Signal.handle(new sun.misc.Signal("TERM"), signal -> server.leave());
+    sun.misc.Signal.handle(new sun.misc.Signal("HUP"), signal -> server.reload());
+  }
 }
--- a/src/main/java/org/otterpond/client/Client.java
+++ b/src/main/java/org/otterpond/cli/OtterpondCommand.java
@@ -1,9 +1,10 @@
-package org.otterpond.client;
+package org.otterpond.cli;
 
-import org.otterpond.chart.ChartException;
-import org.otterpond.drill.ScaleRun;
-import org.otterpond.drill.TrialWorker;
-import org.otterpond.sim.SimulateCommand;
+import org.otterpond.client.ControlApiException;
+import org.otterpond.config.ConfigException;
+import org.otterpond.simulation.SimulateCommand;
+import org.otterpond.tools.SampleWorker;
+import org.otterpond.tools.ScaleRun;
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
 
@@ -14,18 +15,18 @@
     version = "otterpond 0.1.0",
     description =
         "An API gateway of many nodes. 'node' runs one (its settings file is named by OTTERPOND_CONFIG),"
-            + " 'rehearse' tries one alone on this machine; the commands below talk to running nodes.",
+            + " 'self-test' tries one alone on this machine; the commands below talk to running nodes.",
     footer = {"", "Exit codes: 0 done; 1 refused, or invalid; 2 wrong usage; 3 no clear answer."},
     subcommands = {
       ConfigCommand.class,
       StatusCommand.class,
       MessageCommand.class,
       RetireCommand.class,
-      TrialWorker.class,
+      SampleWorker.class,
       ScaleRun.class,
       SimulateCommand.class
     })
-public final class Client implements Runnable {
+public final class OtterpondCommand implements Runnable {
   @CommandLine.Spec private CommandLine.Model.CommandSpec spec;
 
   @Override
@@ -34,16 +35,16 @@
   }
 
   public static int execute(String... args) {
-    return new CommandLine(new Client())
+    return new CommandLine(new OtterpondCommand())
         .setExecutionExceptionHandler(
             (e, line, parsed) -> {
-              if (e instanceof ClientException c) {
+              if (e instanceof ControlApiException c) {
                 System.err.println("otterpond: " + c.getMessage());
                 return c.code();
               }
-              if (e instanceof ChartException) {
+              if (e instanceof ConfigException) {
                 System.err.println("otterpond: invalid: " + e.getMessage());
-                return ClientException.REFUSED;
+                return ControlApiException.REFUSED;
               }
               throw e;
             })
--- a/src/main/java/org/otterpond/client/RetireCommand.java
+++ b/src/main/java/org/otterpond/cli/RetireCommand.java
@@ -1,8 +1,9 @@
-package org.otterpond.client;
+package org.otterpond.cli;
 
 import com.google.gson.JsonObject;
-import org.otterpond.chart.ChartException;
-import org.otterpond.chart.Fields;
+import org.otterpond.client.ControlApiException;
+import org.otterpond.config.ConfigException;
+import org.otterpond.config.JsonFields;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Mixin;
 import picocli.CommandLine.Option;
@@ -19,7 +20,7 @@
       description = "Has all partitions moved off the machine.",
       mixinStandardHelpOptions = true)
   int begin(
-      @Mixin Connection at,
+      @Mixin NodeOption at,
       @Parameters(paramLabel = "MACHINE") String machine,
       @Option(
               names = "--deadline",
@@ -27,7 +28,7 @@
               defaultValue = "60",
               description = "Within how long it is wanted; 60 if left out.")
           double deadline)
-      throws ClientException {
+      throws ControlApiException {
     JsonObject o = new JsonObject();
     o.addProperty("deadline_s", deadline);
     at.open().post("/-/Retire.Begin/" + machine, o.toString());
@@ -39,10 +40,11 @@
       name = "status",
       description = "Says whether the machine is empty: in_progress or completed.",
       mixinStandardHelpOptions = true)
-  int status(@Mixin Connection at, @Parameters(paramLabel = "MACHINE") String machine)
-      throws ClientException, ChartException {
+  int status(@Mixin NodeOption at, @Parameters(paramLabel = "MACHINE") String machine)
+      throws ControlApiException, ConfigException {
     System.out.println(
-        Fields.of(Fields.parse(at.open().get("/-/Retire.Read/" + machine)), "").text("state"));
+        JsonFields.of(JsonFields.parse(at.open().get("/-/Retire.Read/" + machine)), "")
+            .text("state"));
     return 0;
   }
 }
--- a/src/main/java/org/otterpond/client/StatusCommand.java
+++ b/src/main/java/org/otterpond/cli/StatusCommand.java
@@ -1,8 +1,9 @@
-package org.otterpond.client;
+package org.otterpond.cli;
 
 import java.util.concurrent.Callable;
-import org.otterpond.chart.ChartException;
-import org.otterpond.chart.Fields;
+import org.otterpond.client.ControlApiException;
+import org.otterpond.config.ConfigException;
+import org.otterpond.config.JsonFields;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Mixin;
 import picocli.CommandLine.Option;
@@ -15,7 +16,7 @@
             + "is leaving.",
     mixinStandardHelpOptions = true)
 final class StatusCommand implements Callable<Integer> {
-  @Mixin private Connection at;
+  @Mixin private NodeOption at;
 
   @Option(names = "--all", description = "Lists every node and every worker.")
   private boolean all;
@@ -24,12 +25,12 @@
   private boolean json;
 
   @Override
-  public Integer call() throws ClientException, ChartException {
+  public Integer call() throws ControlApiException, ConfigException {
     String text = at.open().get("/-/status");
     if (json) {
       System.out.println(text);
     } else {
-      StatusPage.of(Fields.parse(text), all).forEach(System.out::println);
+      StatusReport.of(JsonFields.parse(text), all).forEach(System.out::println);
     }
     return 0;
   }
--- a/src/main/java/org/otterpond/client/StatusPage.java
+++ b/src/main/java/org/otterpond/cli/StatusReport.java
@@ -1,4 +1,4 @@
-package org.otterpond.client;
+package org.otterpond.cli;
 
 import com.google.gson.JsonArray;
 import com.google.gson.JsonElement;
@@ -11,7 +11,7 @@
 import java.util.function.Predicate;
 
 /** What `status` prints: totals by zone, then what is not as it should be, or everything. */
-final class StatusPage {
+final class StatusReport {
   /**
    * A node polls again at once and is answered within 0.7 s: one silent for longer may be out of
    * touch.
@@ -24,12 +24,12 @@
   private final JsonObject status;
   private final List<String> lines = new ArrayList<>();
 
-  private StatusPage(JsonObject status) {
+  private StatusReport(JsonObject status) {
     this.status = status;
   }
 
   static List<String> of(JsonObject status, boolean all) {
-    StatusPage p = new StatusPage(status);
+    StatusReport p = new StatusReport(status);
     p.core();
     p.zones();
     p.nodes(all);
--- a/src/main/java/org/otterpond/client/ControlCall.java
+++ b/src/main/java/org/otterpond/client/ControlApiClient.java
@@ -22,39 +22,39 @@
 import org.apache.hc.core5.http.io.support.ClassicRequestBuilder;
 import org.apache.hc.core5.http.protocol.HttpCoreContext;
 import org.apache.hc.core5.util.Timeout;
-import org.otterpond.chart.ChartException;
-import org.otterpond.chart.Fields;
+import org.otterpond.config.ConfigException;
+import org.otterpond.config.JsonFields;
 
 /** Calls of the control points, one after another until one gives a clear answer. */
-final class ControlCall {
+public final class ControlApiClient {
   private static final Timeout PATIENCE = Timeout.ofSeconds(4);
   private static final int ROUNDS = 3;
   private static final int HOPS = 2;
 
   private final List<String> nodes;
 
-  ControlCall(List<String> nodes) {
+  public ControlApiClient(List<String> nodes) {
     this.nodes = nodes;
   }
 
-  String get(String path) throws ClientException {
+  public String get(String path) throws ControlApiException {
     return call("GET", path, null, Map.of());
   }
 
-  String post(String path, String body, long base) throws ClientException {
+  public String post(String path, String body, long base) throws ControlApiException {
     return call("POST", path, body, Map.of("X-Otterpond-Base-Revision", Long.toString(base)));
   }
 
-  String post(String path, String body) throws ClientException {
+  public String post(String path, String body) throws ControlApiException {
     return call("POST", path, body, Map.of());
   }
 
-  String get(String path, Map<String, String> headers) throws ClientException {
+  public String get(String path, Map<String, String> headers) throws ControlApiException {
     return call("GET", path, null, headers);
   }
 
   private String call(String method, String path, String body, Map<String, String> headers)
-      throws ClientException {
+      throws ControlApiException {
     List<String> failures = new ArrayList<>();
     for (int round = 0; round < ROUNDS; round++) {
       for (String node : nodes) {
@@ -74,19 +74,19 @@
             return said.text();
           }
           if (said.status() / 100 == 4 && said.status() != 408 && said.status() != 429) {
-            throw new ClientException(
-                ClientException.REFUSED, said.status() + ": " + cause(said.text()));
+            throw new ControlApiException(
+                ControlApiException.REFUSED, said.status() + ": " + cause(said.text()));
           }
           failures.add(node + ": " + said.status() + " " + cause(said.text()));
         } catch (IOException | HttpException e) {
           failures.add(node + ": " + e.getMessage());
         } catch (URISyntaxException e) {
-          throw new ClientException(2, "--node: host:port is wanted, not " + node);
+          throw new ControlApiException(2, "--node: host:port is wanted, not " + node);
         }
       }
     }
-    throw new ClientException(
-        ClientException.UNREACHED,
+    throw new ControlApiException(
+        ControlApiException.UNREACHED,
         "no clear answer; the last: " + failures.get(failures.size() - 1));
   }
 
@@ -115,9 +115,9 @@
 
   private static String cause(String text) {
     try {
-      JsonObject o = Fields.parse(text);
+      JsonObject o = JsonFields.parse(text);
       return o.has("cause") ? o.get("cause").getAsString() : text;
-    } catch (ChartException e) {
+    } catch (ConfigException e) {
       return text;
     }
   }
--- a/src/main/java/org/otterpond/chart/ChartException.java
+++ b/src/main/java/org/otterpond/config/ConfigException.java
@@ -1,10 +1,10 @@
-package org.otterpond.chart;
+package org.otterpond.config;
 
 /** Settings or a configuration that do not hold; the message names the field. */
-public final class ChartException extends Exception {
+public final class ConfigException extends Exception {
   private static final long serialVersionUID = 1L;
 
-  public ChartException(String message) {
+  public ConfigException(String message) {
     super(message);
   }
 }
--- a/src/main/java/org/otterpond/chart/ConfigurationReader.java
+++ b/src/main/java/org/otterpond/config/ConfigurationParser.java
@@ -1,4 +1,4 @@
-package org.otterpond.chart;
+package org.otterpond.config;
 
 import com.google.gson.JsonArray;
 import com.google.gson.JsonElement;
@@ -14,19 +14,19 @@
 import java.util.Set;
 
 /** Reads and checks a whole configuration, and works out what a change to one gives. */
-public final class ConfigurationReader {
+public final class ConfigurationParser {
   private static final long MAX_MILLIS = 86_400_000L;
   private static final long MAX_WEIGHT = 1_000_000_000L;
 
-  private ConfigurationReader() {}
+  private ConfigurationParser() {}
 
-  public static Configuration read(JsonObject whole) throws ChartException {
-    Fields f = Fields.of(whole, "");
+  public static GatewayConfiguration read(JsonObject whole) throws ConfigException {
+    JsonFields f = JsonFields.of(whole, "");
     long revision = f.whole("revision", 1, Long.MAX_VALUE);
     Map<String, Service> services = new HashMap<>();
     JsonArray list = f.array("service_table");
     for (int i = 0; i < list.size(); i++) {
-      Fields s = Fields.of(list.get(i), "service_table[" + i + "]");
+      JsonFields s = JsonFields.of(list.get(i), "service_table[" + i + "]");
       Service service =
           new Service(
               s.text("name"),
@@ -38,7 +38,7 @@
               s.truth("partitioned", false),
               (long) (1_000_000 * s.real("warmup_period_s", 0, 0)));
       if (services.put(service.name(), service) != null) {
-        throw new ChartException(s.at("name") + ": given twice");
+        throw new ConfigException(s.at("name") + ": given twice");
       }
     }
     List<Route> routes = new ArrayList<>();
@@ -46,30 +46,31 @@
     Set<String> names = new HashSet<>();
     list = f.array("route_table");
     for (int i = 0; i < list.size(); i++) {
-      Route r = route(Fields.of(list.get(i), "route_table[" + i + "]"), services);
+      Route r = route(JsonFields.of(list.get(i), "route_table[" + i + "]"), services);
       if (!places.add(r.host() + " " + r.prefix())) {
-        throw new ChartException("route_table[" + i + "].path_prefix: host and prefix given twice");
+        throw new ConfigException(
+            "route_table[" + i + "].path_prefix: host and prefix given twice");
       }
       if (!names.add(r.name())) {
-        throw new ChartException("route_table[" + i + "].name: given twice");
+        throw new ConfigException("route_table[" + i + "].name: given twice");
       }
       routes.add(r);
     }
-    Limits limits = Limits.standard();
+    ClientLimits limits = ClientLimits.standard();
     if (f.has("limits")) {
-      Fields l = f.object("limits");
+      JsonFields l = f.object("limits");
       limits =
-          new Limits(
+          new ClientLimits(
               (int) l.whole("max_header_bytes", 1, 16 << 20, limits.maxHeaderBytes()),
               l.whole("max_body_bytes", 0, Long.MAX_VALUE, limits.maxBodyBytes()),
               1000 * l.whole("header_timer_ms", 1, MAX_MILLIS, limits.headerMicros() / 1000),
               1000 * l.whole("idle_timer_ms", 1, MAX_MILLIS, limits.idleMicros() / 1000));
     }
-    return new Configuration(revision, routes, services, limits, shippers(f));
+    return new GatewayConfiguration(revision, routes, services, limits, tenants(f));
   }
 
-  private static List<Shipper> shippers(Fields f) throws ChartException {
-    List<Shipper> out = new ArrayList<>();
+  private static List<Tenant> tenants(JsonFields f) throws ConfigException {
+    List<Tenant> out = new ArrayList<>();
     if (!f.has("subscribers")) {
       return out;
     }
@@ -77,13 +78,13 @@
     Set<String> taken = new HashSet<>();
     JsonArray list = f.array("subscribers");
     for (int i = 0; i < list.size(); i++) {
-      Fields s = Fields.of(list.get(i), "subscribers[" + i + "]");
+      JsonFields s = JsonFields.of(list.get(i), "subscribers[" + i + "]");
       String name = s.text("name");
       if (!names.add(name)) {
-        throw new ChartException(s.at("name") + ": given twice");
+        throw new ConfigException(s.at("name") + ": given twice");
       }
       if (!name.chars().allMatch(c -> c > ' ' && c < 0x7f)) {
-        throw new ChartException(
+        throw new ConfigException(
             s.at("name") + ": must fit into a header: printable ASCII without spaces");
       }
       List<String> keys = new ArrayList<>();
@@ -94,17 +95,17 @@
           if (!(given.get(k) instanceof JsonPrimitive p)
               || !p.isString()
               || p.getAsString().isEmpty()) {
-            throw new ChartException(at + ": a text that is not empty is wanted");
+            throw new ConfigException(at + ": a text that is not empty is wanted");
           }
           // The key itself is never named: causes are logged and sent about.
           if (!taken.add(p.getAsString())) {
-            throw new ChartException(at + ": this key is given already");
+            throw new ConfigException(at + ": this key is given already");
           }
           keys.add(p.getAsString());
         }
       }
       out.add(
-          new Shipper(
+          new Tenant(
               name,
               List.copyOf(keys),
               (int) s.whole("priority", 0, Integer.MAX_VALUE, 0),
@@ -114,28 +115,28 @@
     return out;
   }
 
-  private static Route route(Fields r, Map<String, Service> services) throws ChartException {
-    List<Target> targets = new ArrayList<>();
+  private static Route route(JsonFields r, Map<String, Service> services) throws ConfigException {
+    List<RouteTarget> targets = new ArrayList<>();
     if (r.has("weighted_targets")) {
       JsonArray split = r.array("weighted_targets");
       for (int i = 0; i < split.size(); i++) {
-        Fields t = Fields.of(split.get(i), r.at("weighted_targets[" + i + "]"));
-        targets.add(new Target(t.text("target_service"), t.whole("weight", 0, MAX_WEIGHT)));
+        JsonFields t = JsonFields.of(split.get(i), r.at("weighted_targets[" + i + "]"));
+        targets.add(new RouteTarget(t.text("target_service"), t.whole("weight", 0, MAX_WEIGHT)));
       }
-      if (targets.stream().mapToLong(Target::weight).sum() <= 0) {
-        throw new ChartException(r.at("weighted_targets") + ": the weights add up to 0");
+      if (targets.stream().mapToLong(RouteTarget::weight).sum() <= 0) {
+        throw new ConfigException(r.at("weighted_targets") + ": the weights add up to 0");
       }
     } else {
-      targets.add(new Target(r.text("target_service"), 1));
+      targets.add(new RouteTarget(r.text("target_service"), 1));
     }
-    for (Target t : targets) {
+    for (RouteTarget t : targets) {
       if (!services.containsKey(t.service())) {
-        throw new ChartException(r.at("target_service") + ": unknown service " + t.service());
+        throw new ConfigException(r.at("target_service") + ": unknown service " + t.service());
       }
     }
     String prefix = r.text("path_prefix");
     if (!prefix.startsWith("/") || !prefix.endsWith("/")) {
-      throw new ChartException(r.at("path_prefix") + ": begins and ends with a slash");
+      throw new ConfigException(r.at("path_prefix") + ": begins and ends with a slash");
     }
     return new Route(
         r.text("name"),
@@ -153,7 +154,7 @@
   }
 
   /** The address of a service that is one endpoint, or null. */
-  private static String endpoint(Fields s) throws ChartException {
+  private static String endpoint(JsonFields s) throws ConfigException {
     if (!s.has("fixed_endpoint")) {
       return null;
     }
@@ -167,21 +168,21 @@
     } catch (NumberFormatException e) {
       // Said below.
     }
-    throw new ChartException(s.at("fixed_endpoint") + ": address:port is wanted");
+    throw new ConfigException(s.at("fixed_endpoint") + ": address:port is wanted");
   }
 
   /** The whole configuration that a change makes of the current one. */
-  public static JsonObject modify(JsonObject current, JsonObject change) throws ChartException {
-    Fields f = Fields.of(change, "");
+  public static JsonObject modify(JsonObject current, JsonObject change) throws ConfigException {
+    JsonFields f = JsonFields.of(change, "");
     JsonObject out = current.deepCopy();
     out.addProperty("revision", f.whole("revision", 1, Long.MAX_VALUE));
     if (f.has("remove_items")) {
-      Fields tables = f.object("remove_items");
+      JsonFields tables = f.object("remove_items");
       for (String table : tables.raw().keySet()) {
         Map<String, JsonElement> items = items(out, table, tables.at(table));
         for (JsonElement name : tables.array(table)) {
           if (!name.isJsonPrimitive() || !name.getAsJsonPrimitive().isString()) {
-            throw new ChartException(tables.at(table) + ": a list of names is wanted");
+            throw new ConfigException(tables.at(table) + ": a list of names is wanted");
           }
           items.remove(name.getAsString());
         }
@@ -189,18 +190,18 @@
       }
     }
     if (f.has("upsert_items")) {
-      Fields tables = f.object("upsert_items");
+      JsonFields tables = f.object("upsert_items");
       for (String table : tables.raw().keySet()) {
         if (tables.raw().get(table).isJsonObject() && !out.has(table)
             || out.has(table) && out.get(table).isJsonObject()) {
-          out.add(table, Fields.of(tables.raw().get(table), tables.at(table)).raw());
+          out.add(table, JsonFields.of(tables.raw().get(table), tables.at(table)).raw());
           continue;
         }
         Map<String, JsonElement> items = items(out, table, tables.at(table));
         JsonArray list = tables.array(table);
         for (int i = 0; i < list.size(); i++) {
           String at = tables.at(table) + "[" + i + "]";
-          items.put(Fields.of(list.get(i), at).text("name"), list.get(i));
+          items.put(JsonFields.of(list.get(i), at).text("name"), list.get(i));
         }
         put(out, table, items);
       }
@@ -212,13 +213,13 @@
   }
 
   private static Map<String, JsonElement> items(JsonObject whole, String table, String at)
-      throws ChartException {
+      throws ConfigException {
     Map<String, JsonElement> out = new LinkedHashMap<>();
     if (!whole.has(table)) {
       return out;
     }
     if (!whole.get(table).isJsonArray()) {
-      throw new ChartException(at + ": not a table of named items");
+      throw new ConfigException(at + ": not a table of named items");
     }
     for (JsonElement e : whole.getAsJsonArray(table)) {
       out.put(e.getAsJsonObject().get("name").getAsString(), e);
--- a/src/main/java/org/otterpond/chart/Configuration.java
+++ b/src/main/java/org/otterpond/config/GatewayConfiguration.java
@@ -1,4 +1,4 @@
-package org.otterpond.chart;
+package org.otterpond.config;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -7,22 +7,22 @@
 import java.util.Map;
 
 /** One version of the configuration, checked, with its routes arranged for look-up. */
-public final class Configuration {
+public final class GatewayConfiguration {
   private final long revision;
   private final Map<String, List<Route>> routesByHost = new HashMap<>();
   private final Map<String, Service> services;
-  private final Limits limits;
-  private final List<Shipper> shippers;
-  private final Map<String, Shipper> shipperOfKey = new HashMap<>();
+  private final ClientLimits limits;
+  private final List<Tenant> tenants;
+  private final Map<String, Tenant> tenantOfKey = new HashMap<>();
 
-  Configuration(
+  GatewayConfiguration(
       long revision,
       List<Route> routes,
       Map<String, Service> services,
-      Limits limits,
-      List<Shipper> shippers) {
-    this.shippers = List.copyOf(shippers);
-    shippers.forEach(s -> s.keys().forEach(k -> shipperOfKey.put(k, s)));
+      ClientLimits limits,
+      List<Tenant> tenants) {
+    this.tenants = List.copyOf(tenants);
+    tenants.forEach(s -> s.keys().forEach(k -> tenantOfKey.put(k, s)));
     this.revision = revision;
     this.services = Map.copyOf(services);
     this.limits = limits;
@@ -38,22 +38,22 @@
     return revision;
   }
 
-  public Limits limits() {
+  public ClientLimits limits() {
     return limits;
   }
 
-  public List<Shipper> shippers() {
-    return shippers;
+  public List<Tenant> tenants() {
+    return tenants;
   }
 
   /** Whether requests must bring an access key, but on public routes. */
   public boolean closed() {
-    return !shippers.isEmpty();
+    return !tenants.isEmpty();
   }
 
   /** The tenant that holds the key, or null. */
-  public Shipper shipperOf(String key) {
-    return shipperOfKey.get(key);
+  public Tenant tenantOf(String key) {
+    return tenantOfKey.get(key);
   }
 
   public Map<String, Service> services() {
--- a/src/main/java/org/otterpond/chart/Settings.java
+++ b/src/main/java/org/otterpond/config/NodeSettings.java
@@ -1,4 +1,4 @@
-package org.otterpond.chart;
+package org.otterpond.config;
 
 import com.google.gson.JsonElement;
 import com.google.gson.JsonObject;
@@ -13,7 +13,7 @@
 import java.util.TreeMap;
 
 /** What one process is told by its settings file, checked. */
-public record Settings(
+public record NodeSettings(
     String nodeName,
     String ip,
     String zone,
@@ -55,46 +55,46 @@
     Map<String, String> regionOf) {
   private static final Set<String> DEPLOYMENTS = Set.of("gateway", "queue");
 
-  public static Settings load(Path file) throws ChartException {
+  public static NodeSettings load(Path file) throws ConfigException {
     String text;
     try {
       text = Files.readString(file, StandardCharsets.UTF_8);
     } catch (IOException e) {
-      throw new ChartException("settings file: not readable: " + file);
+      throw new ConfigException("settings file: not readable: " + file);
     }
-    return read(Fields.parse(text));
+    return read(JsonFields.parse(text));
   }
 
-  static Settings read(JsonObject o) throws ChartException {
-    Fields f = Fields.of(o, "");
-    Fields points = f.object("listen_points");
+  static NodeSettings read(JsonObject o) throws ConfigException {
+    JsonFields f = JsonFields.of(o, "");
+    JsonFields points = f.object("listen_points");
     JsonElement range = f.array("internal_port_range");
     int port;
     try {
       port = range.getAsJsonArray().get(0).getAsInt();
     } catch (RuntimeException e) {
-      throw new ChartException("internal_port_range: two port numbers are wanted");
+      throw new ConfigException("internal_port_range: two port numbers are wanted");
     }
     if (port < 1 || port > 65_535) {
-      throw new ChartException("internal_port_range: outside 1 to 65535");
+      throw new ConfigException("internal_port_range: outside 1 to 65535");
     }
     List<String> seeds = new ArrayList<>();
     for (JsonElement e : f.array("seed_peers")) {
       String s = e.isJsonPrimitive() ? e.getAsString() : "";
       int colon = s.lastIndexOf(':');
       if (colon < 1) {
-        throw new ChartException("seed_peers: address:port is wanted");
+        throw new ConfigException("seed_peers: address:port is wanted");
       }
       seeds.add(s.substring(0, colon) + ":" + port);
     }
-    Fields b = f.has("bounds") ? f.object("bounds") : Fields.of(new JsonObject(), "bounds");
-    Fields l = f.has("limits") ? f.object("limits") : Fields.of(new JsonObject(), "limits");
-    Fields t =
+    JsonFields b = f.has("bounds") ? f.object("bounds") : JsonFields.of(new JsonObject(), "bounds");
+    JsonFields l = f.has("limits") ? f.object("limits") : JsonFields.of(new JsonObject(), "limits");
+    JsonFields t =
         f.has("fault_tolerance")
             ? f.object("fault_tolerance")
-            : Fields.of(new JsonObject(), "fault_tolerance");
+            : JsonFields.of(new JsonObject(), "fault_tolerance");
     String ip = f.text("ip");
-    return new Settings(
+    return new NodeSettings(
         f.text("node_name"),
         ip,
         f.text("zone", "-"),
@@ -137,13 +137,13 @@
   }
 
   /** The region of each zone that the file names, the own one at least. */
-  private static Map<String, String> regions(Fields f, JsonObject o) throws ChartException {
+  private static Map<String, String> regions(JsonFields f, JsonObject o) throws ConfigException {
     Map<String, String> out = new TreeMap<>();
     if (f.has("region")) {
       out.put(f.text("zone", "-"), f.text("region"));
     }
     if (f.has("zones")) {
-      Fields zones = f.object("zones");
+      JsonFields zones = f.object("zones");
       for (String zone : o.getAsJsonObject("zones").keySet()) {
         out.put(zone, zones.text(zone));
       }
@@ -151,16 +151,16 @@
     return Map.copyOf(out);
   }
 
-  private static String deployment(Fields f) throws ChartException {
+  private static String deployment(JsonFields f) throws ConfigException {
     String d = f.text("deployment", "gateway");
     if (!DEPLOYMENTS.contains(d)) {
-      throw new ChartException(
+      throw new ConfigException(
           f.at("deployment") + ": " + d + " is not known; gateway or queue is wanted");
     }
     return d;
   }
 
-  private static boolean serves(Fields f, String what) throws ChartException {
+  private static boolean serves(JsonFields f, String what) throws ConfigException {
     if (!f.has("serves")) {
       return false;
     }
@@ -172,7 +172,7 @@
     return false;
   }
 
-  private static String point(Fields points, String name) throws ChartException {
+  private static String point(JsonFields points, String name) throws ConfigException {
     if (!points.has(name)) {
       return null;
     }
@@ -181,10 +181,10 @@
     try {
       int port = Integer.parseInt(s.substring(colon + 1));
       if (colon < 1 || port < 1 || port > 65_535) {
-        throw new ChartException(points.at(name) + ": address:port is wanted");
+        throw new ConfigException(points.at(name) + ": address:port is wanted");
       }
     } catch (NumberFormatException e) {
-      throw new ChartException(points.at(name) + ": address:port is wanted");
+      throw new ConfigException(points.at(name) + ": address:port is wanted");
     }
     return s;
   }
--- a/src/main/java/org/otterpond/chart/Route.java
+++ b/src/main/java/org/otterpond/config/Route.java
@@ -1,4 +1,4 @@
-package org.otterpond.chart;
+package org.otterpond.config;
 
 import java.util.List;
 
@@ -15,7 +15,7 @@
     long guardMicros,
     long aimMicros,
     int priority,
-    List<Target> targets,
+    List<RouteTarget> targets,
     int maxAttempts,
     boolean open,
     boolean ordered,
@@ -24,7 +24,7 @@
   /** The service for a draw in [0, total weight). */
   public String serviceFor(long draw) {
     long left = draw;
-    for (Target t : targets) {
+    for (RouteTarget t : targets) {
       left -= t.weight();
       if (left < 0) {
         return t.service();
@@ -35,7 +35,7 @@
 
   public long totalWeight() {
     long sum = 0;
-    for (Target t : targets) {
+    for (RouteTarget t : targets) {
       sum += t.weight();
     }
     return sum;
--- a/src/main/java/org/otterpond/chart/RouteType.java
+++ b/src/main/java/org/otterpond/config/RouteType.java
@@ -1,4 +1,4 @@
-package org.otterpond.chart;
+package org.otterpond.config;
 
 /** What may be repeated on a route. */
 public enum RouteType {
@@ -7,7 +7,7 @@
   KEYED,
   ASYNCHRONOUS;
 
-  static RouteType of(String word, String at) throws ChartException {
+  static RouteType of(String word, String at) throws ConfigException {
     switch (word) {
       case "idempotent":
         return IDEMPOTENT;
@@ -18,7 +18,7 @@
       case "asynchronous":
         return ASYNCHRONOUS;
       default:
-        throw new ChartException(
+        throw new ConfigException(
             at + ": idempotent, non_idempotent, keyed or asynchronous is wanted");
     }
   }
--- a/src/main/java/org/otterpond/chart/Service.java
+++ b/src/main/java/org/otterpond/config/Service.java
@@ -1,4 +1,4 @@
-package org.otterpond.chart;
+package org.otterpond.config;
 
 /**
  * One service that workers register for, or that is one endpoint at a fixed address (null if it is
--- a/src/main/java/org/otterpond/harbour/ConfigurationInForce.java
+++ b/src/main/java/org/otterpond/control/agent/ActiveConfiguration.java
@@ -1,33 +1,36 @@
-package org.otterpond.harbour;
+package org.otterpond.control.agent;
 
 import java.util.ArrayDeque;
 import java.util.Deque;
 import java.util.function.Consumer;
-import org.otterpond.chart.Configuration;
-import org.otterpond.signal.Flag;
+import org.otterpond.config.GatewayConfiguration;
+import org.otterpond.control.state.ConfigurationUpdateParser;
+import org.otterpond.control.state.ParsedConfiguration;
+import org.otterpond.protocol.WireRecord;
+import org.otterpond.runtime.NodeRuntime;
 
 /**
  * The configuration in force on a node, and what is on its way into force. A long one is read
  * beside the owner thread, one at a time and in the order of the news: a node that reads on its
  * owner thread answers no ping meanwhile, and a healthy member of the core would be taken for dead.
  */
-final class ConfigurationInForce {
-  private final Deck deck;
-  private final Consumer<Configuration> use;
+final class ActiveConfiguration {
+  private final NodeRuntime runtime;
+  private final Consumer<GatewayConfiguration> use;
   private final Deque<Told> waiting = new ArrayDeque<>();
-  private ConfigurationReading reading;
-  private ReadConfiguration held = ReadConfiguration.NONE;
+  private ConfigurationUpdateParser reading;
+  private ParsedConfiguration held = ParsedConfiguration.NONE;
   private long told;
   private boolean wantsWhole;
 
-  private record Told(Flag news, ReadConfiguration known) {}
+  private record Told(WireRecord news, ParsedConfiguration known) {}
 
-  ConfigurationInForce(Deck deck, Consumer<Configuration> use) {
-    this.deck = deck;
+  ActiveConfiguration(NodeRuntime runtime, Consumer<GatewayConfiguration> use) {
+    this.runtime = runtime;
     this.use = use;
   }
 
-  ReadConfiguration held() {
+  ParsedConfiguration held() {
     return held;
   }
 
@@ -42,7 +45,7 @@
   }
 
   /** Takes news; changes to another base are passed over, the next poll says what is held. */
-  void take(Flag news, ReadConfiguration known) {
+  void take(WireRecord news, ParsedConfiguration known) {
     if (news.number("cfg") > told) {
       told = news.number("cfg");
       waiting.add(new Told(news, known));
@@ -57,10 +60,10 @@
         begin(t.known());
         continue;
       }
-      ConfigurationReading r = new ConfigurationReading(t.news(), held);
+      ConfigurationUpdateParser r = new ConfigurationUpdateParser(t.news(), held);
       if (r.isLong()) {
         reading = r;
-        deck.apart(
+        runtime.apart(
             r,
             () -> {
               reading = null;
@@ -74,7 +77,7 @@
     }
   }
 
-  private void taken(ConfigurationReading r) {
+  private void taken(ConfigurationUpdateParser r) {
     if (r.result() != null) {
       begin(r.result());
       return;
@@ -83,7 +86,7 @@
     waiting.clear();
     told = held.revision();
     if (r.cause() != null) {
-      deck.event(
+      runtime.event(
           "event=configuration_unreadable revision="
               + r.news().number("cfg")
               + " cause="
@@ -92,10 +95,10 @@
     }
   }
 
-  private void begin(ReadConfiguration c) {
+  private void begin(ParsedConfiguration c) {
     use.accept(c.checked());
     held = c;
     wantsWhole = false;
-    deck.event("event=configuration_in_force revision=" + c.revision());
+    runtime.event("event=configuration_in_force revision=" + c.revision());
   }
 }
--- a/src/main/java/org/otterpond/harbour/HarbourNode.java
+++ b/src/main/java/org/otterpond/control/agent/ControlPlaneAgent.java
@@ -1,4 +1,4 @@
-package org.otterpond.harbour;
+package org.otterpond.control.agent;
 
 import java.util.ArrayList;
 import java.util.Collection;
@@ -8,16 +8,29 @@
 import java.util.List;
 import java.util.Map;
 import java.util.function.Consumer;
-import org.otterpond.signal.Bale;
-import org.otterpond.signal.Flag;
-import org.otterpond.signal.SignalException;
+import org.otterpond.control.bootstrap.CoreBootstrap;
+import org.otterpond.control.epoch.EpochListener;
+import org.otterpond.control.epoch.EpochReplica;
+import org.otterpond.control.epoch.EpochTimeouts;
+import org.otterpond.control.primary.ControlPlaneSettings;
+import org.otterpond.control.primary.DataPlane;
+import org.otterpond.control.primary.PrimaryServices;
+import org.otterpond.control.state.CoreMember;
+import org.otterpond.control.state.EpochRecord;
+import org.otterpond.control.state.ReplicatedState;
+import org.otterpond.control.state.WorkerInstance;
+import org.otterpond.control.state.WorkerState;
+import org.otterpond.protocol.CompressedPayload;
+import org.otterpond.protocol.ProtocolException;
+import org.otterpond.protocol.WireRecord;
+import org.otterpond.runtime.NodeRuntime;
 
 /**
  * The control side of one node: finds the core, keeps its lease by long polls, takes news of
  * configuration and workers, tells again what it was told, and carries asks to the primary. Where
  * there is a disk it is also core.
  */
-public final class HarbourNode implements WatchListener {
+public final class ControlPlaneAgent implements EpochListener {
   private static final long HELLO = 250_000;
   private static final long POLL_LOST = 1_300_000;
   private static final long OUT_OF_TOUCH = 1_700_000;
@@ -30,13 +43,13 @@
   private static final long SWEEP = 500_000;
   public static final long TICK = 100_000;
 
-  private final Deck deck;
+  private final NodeRuntime runtime;
   private final NodeIdentity me;
-  private final Shore shore;
-  private final Founding founding;
-  private final Watch watch;
-  private final Helm helm;
-  private final Stores stores;
+  private final DataPlane dataPlane;
+  private final CoreBootstrap bootstrap;
+  private final EpochReplica watch;
+  private final PrimaryServices primaryServices;
+  private final QuotaCache stores;
   private long storesSwept;
 
   private EpochRecord known;
@@ -44,9 +57,9 @@
   private long lastHello = Long.MIN_VALUE / 2;
   private int helloTurn;
 
-  private final ConfigurationInForce configuration;
+  private final ActiveConfiguration configuration;
   private long assignmentNumber;
-  private final Map<String, Vessel> roster = new LinkedHashMap<>();
+  private final Map<String, WorkerInstance> roster = new LinkedHashMap<>();
   private final Map<String, Long> endedAt = new HashMap<>();
   private long tableVersion;
   private long tableEpoch;
@@ -57,7 +70,7 @@
   private boolean seeking;
   private long heardPrimary;
   private String polled;
-  private final Map<String, Vessel> toTell = new LinkedHashMap<>();
+  private final Map<String, WorkerInstance> toTell = new LinkedHashMap<>();
 
   /**
    * The newest moment at which this node's configuration is known to have been the newest
@@ -72,12 +85,12 @@
 
   private final Map<Long, Ask> asks = new LinkedHashMap<>();
   private long askNumber;
-  private final Map<String, Flag> beatsWaiting = new LinkedHashMap<>();
+  private final Map<String, WireRecord> beatsWaiting = new LinkedHashMap<>();
   private boolean beatsDue;
 
   private static final class Ask {
-    Flag flag;
-    Consumer<Flag> answer;
+    WireRecord wireRecord;
+    Consumer<WireRecord> answer;
 
     /** The one node asked, or null for the primary, whoever it is. */
     String node;
@@ -89,37 +102,42 @@
     long connection;
   }
 
-  public HarbourNode(Deck deck, NodeIdentity me, Shore shore, HarbourTerms terms) {
-    this.deck = deck;
+  public ControlPlaneAgent(
+      NodeRuntime runtime, NodeIdentity me, DataPlane dataPlane, ControlPlaneSettings terms) {
+    this.runtime = runtime;
     this.me = me;
-    this.shore = shore;
-    this.configuration = new ConfigurationInForce(deck, shore::configured);
+    this.dataPlane = dataPlane;
+    this.configuration = new ActiveConfiguration(runtime, dataPlane::configured);
     this.askNumber = me.life() & 0xffff_ffff_0000L;
     // An answer to a poll of an earlier life must not pass for one to this life's.
     this.pollNumber = askNumber;
-    this.stores = new Stores(deck, this, terms.quota().lentMicros() - HarbourTerms.LENT_MARGIN);
-    this.founding = new Founding(deck, me.address(), me.seeds(), me.firstLife(), terms.losses());
+    this.stores =
+        new QuotaCache(
+            runtime, this, terms.quota().lentMicros() - ControlPlaneSettings.LENT_MARGIN);
+    this.bootstrap =
+        new CoreBootstrap(runtime, me.address(), me.seeds(), me.firstLife(), terms.losses());
     if (me.diskId() != null) {
-      Berth berth = new Berth(me.diskId(), me.address(), me.name(), me.zone());
+      CoreMember member = new CoreMember(me.diskId(), me.address(), me.name(), me.zone());
       // The margin covers the longest time between a claim and the sending of what it allows.
-      Hold hold = new Hold(terms.keyWindowMicros() + 10_000_000);
-      this.watch = new Watch(deck, WatchTimes.standard(), this, berth, hold, terms.losses());
-      this.helm = new Helm(deck, watch, berth, shore, terms);
+      ReplicatedState hold = new ReplicatedState(terms.keyWindowMicros() + 10_000_000);
+      this.watch =
+          new EpochReplica(runtime, EpochTimeouts.standard(), this, member, hold, terms.losses());
+      this.primaryServices = new PrimaryServices(runtime, watch, member, dataPlane, terms);
     } else {
       this.watch = null;
-      this.helm = null;
+      this.primaryServices = null;
     }
     contacts.addAll(me.seeds());
   }
 
   /** Replays the journal; call before {@link #start()}. */
-  public void replay(List<Flag> journal) {
+  public void replay(List<WireRecord> journal) {
     journal.forEach(this::replay);
     replayed();
   }
 
   /** Replays one record of it; {@link #replayed()} follows the last. */
-  public void replay(Flag record) {
+  public void replay(WireRecord record) {
     if (watch != null) {
       watch.replay(record);
     }
@@ -131,7 +149,7 @@
     }
   }
 
-  public List<Flag> journalBase() {
+  public List<WireRecord> journalBase() {
     return watch.journalBase();
   }
 
@@ -140,14 +158,14 @@
   }
 
   private void tick() {
-    long now = deck.now();
-    founding.tick();
-    if (founding.decided() != null) {
-      learnRecord(founding.decided());
+    long now = runtime.now();
+    bootstrap.tick();
+    if (bootstrap.decided() != null) {
+      learnRecord(bootstrap.decided());
     }
     if (watch != null) {
       watch.tick();
-      helm.tick();
+      primaryServices.tick();
     }
     boolean lost = polling && now - polledAt > POLL_LOST;
     if (known == null || lost || seeking) {
@@ -171,7 +189,7 @@
               }
               return false;
             });
-    deck.after(TICK, this::tick);
+    runtime.after(TICK, this::tick);
   }
 
   private void hello(long now, boolean coreOnly) {
@@ -179,8 +197,8 @@
       return;
     }
     lastHello = now;
-    Flag f =
-        new Flag("hello")
+    WireRecord f =
+        new WireRecord("hello")
             .with("addr", me.address())
             .with("name", me.name())
             .with("zone", me.zone());
@@ -196,11 +214,11 @@
     }
     List<String> others = new ArrayList<>(contacts);
     if (!others.isEmpty()) {
-      to.add(others.get((int) deck.random(others.size())));
+      to.add(others.get((int) runtime.random(others.size())));
     }
-    to.stream().distinct().filter(a -> !a.equals(me.address())).forEach(a -> deck.send(a, f));
+    to.stream().distinct().filter(a -> !a.equals(me.address())).forEach(a -> runtime.send(a, f));
     if (f.has("blank") && me.seeds().contains(me.address())) {
-      founding.blankDisk(new Berth(me.diskId(), me.address(), me.name(), me.zone()));
+      bootstrap.blankDisk(new CoreMember(me.diskId(), me.address(), me.name(), me.zone()));
     }
   }
 
@@ -226,10 +244,10 @@
     }
     known = r;
     r.members().forEach(m -> contacts.add(m.address()));
-    deck.event("event=epoch_learnt epoch=" + r.epoch() + " primary=" + r.primary().name());
+    runtime.event("event=epoch_learnt epoch=" + r.epoch() + " primary=" + r.primary().name());
     // Whoever leads now has not seen the poll that is out, or has lost it.
     polling = false;
-    deck.after(
+    runtime.after(
         0,
         () -> {
           if (!polling) {
@@ -243,13 +261,13 @@
   }
 
   private void tell(Collection<String> nodes, EpochRecord r) {
-    Flag f = new Flag("harbour").with("record", r.toFlag());
-    nodes.stream().filter(a -> !a.equals(me.address())).forEach(a -> deck.send(a, f));
+    WireRecord f = new WireRecord("harbour").with("record", r.toWireRecord());
+    nodes.stream().filter(a -> !a.equals(me.address())).forEach(a -> runtime.send(a, f));
   }
 
   @Override
   public void began(EpochRecord record, boolean continued) {
-    helm.began(continued, configuration.held());
+    primaryServices.began(continued, configuration.held());
     learnt(record);
     tell(contacts, record);
     askPrimaryAgain();
@@ -257,17 +275,17 @@
 
   @Override
   public void steppedDown() {
-    helm.steppedDown();
+    primaryServices.steppedDown();
   }
 
   // ------------------------------------------------------------------ news
 
   private void poll() {
     polling = true;
-    polledAt = deck.now();
+    polledAt = runtime.now();
     polled = known.primary().address();
-    Flag f =
-        new Flag("poll")
+    WireRecord f =
+        new WireRecord("poll")
             .with("addr", me.address())
             .with("name", me.name())
             .with("zone", me.zone())
@@ -280,28 +298,28 @@
             .with("changes", configuration.wantsWhole() ? null : true)
             .with("as", assignmentNumber)
             .with("store", me.storeId())
-            .with("figures", shore.figures());
+            .with("figures", dataPlane.figures());
     if (toldEpoch != known.epoch()) {
       long sum = 0;
-      for (Vessel v : roster.values()) {
+      for (WorkerInstance v : roster.values()) {
         sum += v.sum();
       }
       f.with("sum", sum);
     }
-    List<Flag> heat = shore.heat();
+    List<WireRecord> heat = dataPlane.heat();
     if (!heat.isEmpty()) {
-      f.withFlags("heat", heat);
+      f.withRecords("heat", heat);
     }
     if (!toTell.isEmpty()) {
-      List<Flag> told = new ArrayList<>();
-      toTell.values().forEach(v -> told.add(v.toFlag(deck.now())));
+      List<WireRecord> told = new ArrayList<>();
+      toTell.values().forEach(v -> told.add(v.toWireRecord(runtime.now())));
       toTell.clear();
-      f.withFlags("tell", told);
+      f.withRecords("tell", told);
     }
-    deck.send(polled, f);
+    runtime.send(polled, f);
   }
 
-  private void onNews(String from, Flag f) {
+  private void onNews(String from, WireRecord f) {
     if (known == null
         || !from.equals(known.primary().address())
         || f.number("epoch") < known.epoch()) {
@@ -312,10 +330,10 @@
     }
     polling = false;
     seeking = false;
-    heardPrimary = deck.now();
+    heardPrimary = runtime.now();
     if (f.has("record")) {
-      learnRecord(EpochRecord.of(f.flag("record")));
-      takeFleet(f.flag("fleet"));
+      learnRecord(EpochRecord.of(f.nested("record")));
+      takeFleet(f.nested("fleet"));
     }
     toldEpoch = f.number("epoch");
     takeConfiguration(f);
@@ -331,7 +349,7 @@
     }
   }
 
-  private void takeFleet(Flag fleet) {
+  private void takeFleet(WireRecord fleet) {
     if (fleet == null) {
       return;
     }
@@ -349,48 +367,50 @@
       beacons.put((String) lights.get(i + 1), (String) lights.get(i));
       contacts.add((String) lights.get(i + 1));
     }
-    shore.fleet(counts, (int) fleet.number("rank"));
+    dataPlane.fleet(counts, (int) fleet.number("rank"));
   }
 
-  private void takeAssignments(Flag f) {
+  private void takeAssignments(WireRecord f) {
     if (!f.has("asno") || f.number("asno") <= assignmentNumber) {
       return;
     }
     try {
-      List<Flag> news =
-          f.has("aswhole") ? Bale.unpack(f.bytes("aswhole")).flags("entries") : f.flags("as");
+      List<WireRecord> news =
+          f.has("aswhole")
+              ? CompressedPayload.unpack(f.bytes("aswhole")).records("entries")
+              : f.records("as");
       assignmentNumber = f.number("asno");
-      news.forEach(shore::assigned);
-    } catch (SignalException e) {
-      deck.event("event=assignments_unreadable cause=" + e.getMessage());
+      news.forEach(dataPlane::assigned);
+    } catch (ProtocolException e) {
+      runtime.event("event=assignments_unreadable cause=" + e.getMessage());
     }
   }
 
-  private void takeTable(Flag f) {
-    long now = deck.now();
-    f.flags("table").forEach(v -> takeVessel(Vessel.of(v, now)));
+  private void takeTable(WireRecord f) {
+    long now = runtime.now();
+    f.records("table").forEach(v -> takeWorker(WorkerInstance.of(v, now)));
     if (!f.has("whole")) {
       return;
     }
     try {
-      Map<String, Vessel> theirs = new HashMap<>();
-      for (Flag v : Bale.unpack(f.bytes("whole")).flags("table")) {
-        Vessel told = Vessel.of(v, now);
+      Map<String, WorkerInstance> theirs = new HashMap<>();
+      for (WireRecord v : CompressedPayload.unpack(f.bytes("whole")).records("table")) {
+        WorkerInstance told = WorkerInstance.of(v, now);
         theirs.put(told.id(), told);
-        takeVessel(told);
+        takeWorker(told);
       }
       if (f.truth("want")) {
         // What is known better here is told again, and nothing else.
-        for (Vessel mine : roster.values()) {
-          Vessel other = theirs.get(mine.id());
+        for (WorkerInstance mine : roster.values()) {
+          WorkerInstance other = theirs.get(mine.id());
           if (mine.differs(other)
-              && (other != null || mine.state().compareTo(VesselState.LOST) < 0)) {
+              && (other != null || mine.state().compareTo(WorkerState.LOST) < 0)) {
             toTell.put(mine.id(), mine);
           }
         }
       }
-    } catch (SignalException e) {
-      deck.event("event=table_unreadable cause=" + e.getMessage());
+    } catch (ProtocolException e) {
+      runtime.event("event=table_unreadable cause=" + e.getMessage());
     }
   }
 
@@ -418,32 +438,32 @@
     List<String> from = near.isEmpty() ? List.copyOf(beacons.keySet()) : near;
     int at =
         instance.isEmpty()
-            ? (int) deck.random(from.size())
+            ? (int) runtime.random(from.size())
             : Math.floorMod(instance.hashCode(), from.size());
     return from.get(at);
   }
 
-  private void takeConfiguration(Flag f) {
+  private void takeConfiguration(WireRecord f) {
     if (f.has("cfg")) {
       // The primary has read it already, when it took the order.
-      configuration.take(f, helm == null ? null : helm.read(f.number("cfg")));
+      configuration.take(f, primaryServices == null ? null : primaryServices.read(f.number("cfg")));
     }
   }
 
-  private void takeVessel(Vessel news) {
-    Vessel old = roster.get(news.id());
-    Vessel merged = old == null ? news : old.merge(news);
+  private void takeWorker(WorkerInstance news) {
+    WorkerInstance old = roster.get(news.id());
+    WorkerInstance merged = old == null ? news : old.merge(news);
     if (merged == old) {
       return;
     }
     roster.put(merged.id(), merged);
-    if (merged.state().compareTo(VesselState.LOST) >= 0) {
-      endedAt.put(merged.id(), deck.now());
+    if (merged.state().compareTo(WorkerState.LOST) >= 0) {
+      endedAt.put(merged.id(), runtime.now());
     } else {
       endedAt.remove(merged.id());
     }
     if (merged.differs(old)) {
-      shore.worker(merged);
+      dataPlane.worker(merged);
     }
   }
 
@@ -463,28 +483,28 @@
   // ----------------------------------------------------------------- beats
 
   /** A worker's beat or leave, met here. The answer says whether it is acknowledged. */
-  public void beat(Vessel v, Consumer<Boolean> acknowledged) {
-    if (v.state() == VesselState.IN_SERVICE) {
+  public void beat(WorkerInstance v, Consumer<Boolean> acknowledged) {
+    if (v.state() == WorkerState.IN_SERVICE) {
       if (outOfTouch()) {
         // The worker had best tell somebody whose word reaches the primary.
         acknowledged.accept(false);
         return;
       }
-      Vessel old = roster.get(v.id());
-      takeVessel(v);
-      beatsWaiting.put(v.id(), v.toFlag(deck.now()));
+      WorkerInstance old = roster.get(v.id());
+      takeWorker(v);
+      beatsWaiting.put(v.id(), v.toWireRecord(runtime.now()));
       if (old == null) {
         flushBeats();
       } else if (!beatsDue) {
         beatsDue = true;
-        deck.after(BEAT_BATCH, this::flushBeats);
+        runtime.after(BEAT_BATCH, this::flushBeats);
       }
       acknowledged.accept(true);
       return;
     }
-    takeVessel(v);
+    takeWorker(v);
     ask(
-        new Flag("ask").with("op", "beat").with("vessel", v.toFlag(deck.now())),
+        new WireRecord("ask").with("op", "beat").with("vessel", v.toWireRecord(runtime.now())),
         950_000,
         300_000,
         r -> acknowledged.accept(r != null));
@@ -495,45 +515,47 @@
     if (beatsWaiting.isEmpty()) {
       return;
     }
-    Flag f = new Flag("ask").with("op", "beats").withFlags("beats", beatsWaiting.values());
+    WireRecord f =
+        new WireRecord("ask").with("op", "beats").withRecords("beats", beatsWaiting.values());
     beatsWaiting.clear();
     ask(f, 1_500_000, 500_000, r -> {});
   }
 
   /** The last record known of a worker's life, or null. */
-  public Vessel vessel(String id) {
+  public WorkerInstance worker(String id) {
     return roster.get(id);
   }
 
   // ------------------------------------------------------------------ asks
 
   /** Asks the primary, wherever the duty goes, until the time-out; null means no clear answer. */
-  public void ask(Flag f, long timeout, long resend, Consumer<Flag> answer) {
+  public void ask(WireRecord f, long timeout, long resend, Consumer<WireRecord> answer) {
     ask(null, f, timeout, resend, answer);
   }
 
   /** Asks the node that claimed a key how the run went; null if it does not say. */
-  public void fetch(String holder, String key, String token, long timeout, Consumer<Flag> answer) {
+  public void fetch(
+      String holder, String key, String token, long timeout, Consumer<WireRecord> answer) {
     ask(
         holder,
-        new Flag("fetch").with("key", key).with("token", token),
+        new WireRecord("fetch").with("key", key).with("token", token),
         timeout,
         timeout / 3 + 1,
-        r -> answer.accept(r == null ? null : r.flag("answer")));
+        r -> answer.accept(r == null ? null : r.nested("answer")));
   }
 
   /** Asks one node, once; null means that nothing says whether it took what it was asked. */
-  public void askNode(String node, Flag f, long timeout, Consumer<Flag> answer) {
+  public void askNode(String node, WireRecord f, long timeout, Consumer<WireRecord> answer) {
     ask(node, f, timeout, ONCE, answer);
   }
 
   /** Sends to one node what wants no reply. */
-  public void send(String node, Flag f) {
-    deck.send(node, f);
+  public void send(String node, WireRecord f) {
+    runtime.send(node, f);
   }
 
   /** This node's tokens of the tenants' quotas. */
-  public Stores stores() {
+  public QuotaCache stores() {
     return stores;
   }
 
@@ -542,16 +564,17 @@
     return me.life();
   }
 
-  private void ask(String to, Flag f, long timeout, long resend, Consumer<Flag> answer) {
+  private void ask(
+      String to, WireRecord f, long timeout, long resend, Consumer<WireRecord> answer) {
     Ask a = new Ask();
     a.node = to;
     long id = ++askNumber;
-    a.flag = f.with("rid", id);
+    a.wireRecord = f.with("rid", id);
     a.answer = answer;
     a.resend = resend;
     asks.put(id, a);
     sendAsk(a);
-    deck.after(
+    runtime.after(
         timeout,
         () -> {
           Ask late = asks.remove(id);
@@ -562,12 +585,12 @@
   }
 
   private void sendAsk(Ask a) {
-    a.sentAt = deck.now();
+    a.sentAt = runtime.now();
     if (a.node != null) {
-      deck.send(a.node, a.flag);
-      a.connection = deck.connection(a.node);
+      runtime.send(a.node, a.wireRecord);
+      a.connection = runtime.connection(a.node);
     } else if (known != null) {
-      deck.send(known.primary().address(), a.flag);
+      runtime.send(known.primary().address(), a.wireRecord);
     }
   }
 
@@ -602,7 +625,7 @@
                   && address.equals(a.node)
                   && a.connection == connection
                   && asks.remove(e.getKey()) != null) {
-                a.answer.accept(new Flag("reply").with("no", "unsent"));
+                a.answer.accept(new WireRecord("reply").with("no", "unsent"));
               }
             });
     peerLost(address, neverUp);
@@ -613,7 +636,7 @@
     if (watch != null && !neverUp) {
       watch.peerClosed(address);
     }
-    shore.peerLost(address);
+    dataPlane.peerLost(address);
     // Who holds such an ask can only wait in vain: whether it arrived is not known.
     new ArrayList<>(asks.entrySet())
         .forEach(
@@ -636,46 +659,46 @@
    * cut off.
    */
   public boolean outOfTouch() {
-    return deck.now() - heardPrimary > OUT_OF_TOUCH;
+    return runtime.now() - heardPrimary > OUT_OF_TOUCH;
   }
 
   // -------------------------------------------------------------- messages
 
-  public void onMessage(String from, Flag f) {
+  public void onMessage(String from, WireRecord f) {
     switch (f.kind()) {
       case "hello" -> {
         if (f.has("blank")) {
-          founding.blankDisk(
-              new Berth(f.text("blank"), f.text("addr"), f.text("name"), f.text("zone")));
+          bootstrap.blankDisk(
+              new CoreMember(f.text("blank"), f.text("addr"), f.text("name"), f.text("zone")));
         }
         if (known != null) {
-          deck.send(from, new Flag("harbour").with("record", known.toFlag()));
+          runtime.send(from, new WireRecord("harbour").with("record", known.toWireRecord()));
         }
       }
-      case "harbour" -> learnRecord(EpochRecord.of(f.flag("record")));
+      case "harbour" -> learnRecord(EpochRecord.of(f.nested("record")));
       case "news" -> onNews(from, f);
       case "poll" -> {
-        if (helm != null) {
-          helm.onPoll(from, f);
+        if (primaryServices != null) {
+          primaryServices.onPoll(from, f);
         } else if (known != null) {
-          deck.send(from, new Flag("harbour").with("record", known.toFlag()));
+          runtime.send(from, new WireRecord("harbour").with("record", known.toWireRecord()));
         }
       }
       case "ask" -> {
-        if (helm != null) {
+        if (primaryServices != null) {
           long rid = f.number("rid");
-          helm.serve(f, r -> deck.send(from, r.with("rid", rid)));
+          primaryServices.serve(f, r -> runtime.send(from, r.with("rid", rid)));
         }
       }
       case "fetch" ->
-          deck.send(
+          runtime.send(
               from,
-              new Flag("reply")
+              new WireRecord("reply")
                   .with("rid", f.number("rid"))
-                  .with("answer", shore.outcome(f.text("key"), f.text("token"))));
+                  .with("answer", dataPlane.outcome(f.text("key"), f.text("token"))));
       case "reply" -> {
         if (f.truth("moved")) {
-          learnRecord(EpochRecord.of(f.flag("record")));
+          learnRecord(EpochRecord.of(f.nested("record")));
           return;
         }
         Ask a = asks.remove(f.number("rid"));
@@ -684,11 +707,11 @@
         }
       }
       default -> {
-        if (founding.onMessage(from, f) || watch != null && watch.onMessage(from, f)) {
+        if (bootstrap.onMessage(from, f) || watch != null && watch.onMessage(from, f)) {
           return;
         }
         long rid = f.number("rid");
-        shore.message(from, f, r -> deck.send(from, r.with("rid", rid)));
+        dataPlane.message(from, f, r -> runtime.send(from, r.with("rid", rid)));
       }
     }
   }
--- a/src/main/java/org/otterpond/harbour/NodeIdentity.java
+++ b/src/main/java/org/otterpond/control/agent/NodeIdentity.java
@@ -1,4 +1,4 @@
-package org.otterpond.harbour;
+package org.otterpond.control.agent;
 
 import java.util.List;
 
--- a/src/main/java/org/otterpond/harbour/Stores.java
+++ b/src/main/java/org/otterpond/control/agent/QuotaCache.java
@@ -1,4 +1,4 @@
-package org.otterpond.harbour;
+package org.otterpond.control.agent;
 
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -6,7 +6,8 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import org.otterpond.signal.Flag;
+import org.otterpond.protocol.WireRecord;
+import org.otterpond.runtime.NodeRuntime;
 
 /**
  * This node's tokens of the tenants' quotas, lent by the one owner at the core. A token is used for
@@ -14,7 +15,7 @@
  * running totals of what is used, given back or expired go with every ask, so the owner knows what
  * may still be out.
  */
-public final class Stores {
+public final class QuotaCache {
   private static final long GATHER = 2_000;
   private static final long REPORT = 150_000;
   private static final long ANSWER = 300_000;
@@ -23,8 +24,8 @@
   private static final long PACE = 1_000_000;
   private static final int MOST_SPARE = 8;
 
-  private final Deck deck;
-  private final HarbourNode node;
+  private final NodeRuntime runtime;
+  private final ControlPlaneAgent node;
   private final long lentMicros;
   private final Map<String, Shelf> shelves = new LinkedHashMap<>();
   private long term;
@@ -69,8 +70,8 @@
     }
   }
 
-  Stores(Deck deck, HarbourNode node, long lentMicros) {
-    this.deck = deck;
+  QuotaCache(NodeRuntime runtime, ControlPlaneAgent node, long lentMicros) {
+    this.runtime = runtime;
     this.node = node;
     this.lentMicros = lentMicros;
   }
@@ -82,7 +83,7 @@
   /** Uses a token that is here; false if there is none. */
   public boolean take(String tenant) {
     Shelf s = shelf(tenant);
-    long now = deck.now();
+    long now = runtime.now();
     prune(s, now);
     Lot l = s.lots.peekFirst();
     if (l == null) {
@@ -128,7 +129,7 @@
   private void askSoon(long delay) {
     if (!askDue) {
       askDue = true;
-      deck.after(
+      runtime.after(
           delay,
           () -> {
             askDue = false;
@@ -140,7 +141,7 @@
   private void reportLater() {
     if (!reportDue) {
       reportDue = true;
-      deck.after(
+      runtime.after(
           REPORT,
           () -> {
             reportDue = false;
@@ -155,13 +156,13 @@
    * This node's part of an ask for one tenant: its totals, what it needs and what it would like
    * beside.
    */
-  public Flag part(String tenant, int need) {
+  public WireRecord part(String tenant, int need) {
     Shelf s = shelf(tenant);
-    prune(s, deck.now());
+    prune(s, runtime.now());
     s.reported = s.used;
     // A reserve only where requests come faster than asks would: elsewhere it would mostly expire.
     int spare = Math.max(0, Math.min(MOST_SPARE, Math.max(s.pace, s.recent) / 5) - s.held());
-    return new Flag("part")
+    return new WireRecord("part")
         .with("tenant", tenant)
         .with("used", s.used)
         .with("returned", s.returned)
@@ -170,7 +171,7 @@
   }
 
   /** What every ask that carries a part must say. */
-  public Flag sign(Flag ask) {
+  public WireRecord sign(WireRecord ask) {
     return ask.with("life", node.life()).with("term", term);
   }
 
@@ -178,7 +179,7 @@
     if (asking) {
       return;
     }
-    List<Flag> parts = new ArrayList<>();
+    List<WireRecord> parts = new ArrayList<>();
     for (Shelf s : shelves.values()) {
       s.takers.removeIf(t -> !t.waits());
       if (!s.takers.isEmpty() || s.used != s.reported) {
@@ -189,9 +190,9 @@
       return;
     }
     asking = true;
-    long asked = deck.now();
+    long asked = runtime.now();
     node.ask(
-        sign(new Flag("ask").with("op", "lend").withFlags("tenants", parts)),
+        sign(new WireRecord("ask").with("op", "lend").withRecords("tenants", parts)),
         ANSWER,
         2 * ANSWER,
         r -> {
@@ -202,7 +203,7 @@
             return;
           }
           long again = Long.MAX_VALUE;
-          for (Flag lent : r.flags("lent")) {
+          for (WireRecord lent : r.records("lent")) {
             again = Math.min(again, lent(r.number("term"), lent, asked, true));
           }
           if (again < Long.MAX_VALUE) {
@@ -217,7 +218,7 @@
    * Takes in what was lent, and serves those who wait. Returns when to ask again for those who
    * still do.
    */
-  public long lent(long ofTerm, Flag lent, long asked, boolean serve) {
+  public long lent(long ofTerm, WireRecord lent, long asked, boolean serve) {
     if (ofTerm != term) {
       // Another owner: totals begin anew, and what the old one lent is left to expire.
       term = ofTerm;
@@ -264,12 +265,12 @@
   }
 
   /** In how many seconds a caller beyond its quota had best come back, by what the owner said. */
-  public static double retryAfter(Flag lent) {
+  public static double retryAfter(WireRecord lent) {
     return Math.max(0.3, Math.min(5, lent.number("again") / 1e6));
   }
 
   /** When to ask again where the owner could lend nothing yet. */
-  public static long pause(Flag lent) {
+  public static long pause(WireRecord lent) {
     return pause(lent.number("again"));
   }
 
@@ -279,7 +280,7 @@
 
   /** Gives idle reserves back. */
   public void sweep() {
-    long now = deck.now();
+    long now = runtime.now();
     Iterator<Shelf> it = shelves.values().iterator();
     while (it.hasNext()) {
       Shelf s = it.next();
--- a/src/main/java/org/otterpond/harbour/Founding.java
+++ b/src/main/java/org/otterpond/control/bootstrap/CoreBootstrap.java
@@ -1,4 +1,4 @@
-package org.otterpond.harbour;
+package org.otterpond.control.bootstrap;
 
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -6,23 +6,27 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import org.otterpond.signal.Flag;
+import org.otterpond.control.state.CoreMember;
+import org.otterpond.control.state.EpochRecord;
+import org.otterpond.control.state.FaultTolerance;
+import org.otterpond.protocol.WireRecord;
+import org.otterpond.runtime.NodeRuntime;
 
 /**
  * The one decision taken before there is a core: its first record. The seeds decide it among
  * themselves by a single-decree ballot (Paxos), each in its first life only, so that a seed that
  * forgot what it promised has no vote.
  */
-public final class Founding {
-  private final Deck deck;
+public final class CoreBootstrap {
+  private final NodeRuntime runtime;
   private final String self;
   private final List<String> seeds;
   private final int rank;
-  private final LossTolerance losses;
+  private final FaultTolerance losses;
   private final boolean votes;
   private final long startedAt;
 
-  private final Map<String, Berth> blanks = new LinkedHashMap<>();
+  private final Map<String, CoreMember> blanks = new LinkedHashMap<>();
   private long lastNews;
 
   private long promised;
@@ -33,20 +37,24 @@
   private long ballotAt;
   private boolean asking;
   private EpochRecord value;
-  private final Map<String, Flag> promises = new HashMap<>();
+  private final Map<String, WireRecord> promises = new HashMap<>();
   private final Map<String, Boolean> accepts = new HashMap<>();
 
   private EpochRecord decided;
 
-  public Founding(
-      Deck deck, String self, List<String> seeds, boolean firstLife, LossTolerance losses) {
-    this.deck = deck;
+  public CoreBootstrap(
+      NodeRuntime runtime,
+      String self,
+      List<String> seeds,
+      boolean firstLife,
+      FaultTolerance losses) {
+    this.runtime = runtime;
     this.losses = losses;
     this.self = self;
     this.seeds = seeds;
     this.rank = seeds.indexOf(self);
     this.votes = firstLife && rank >= 0;
-    this.startedAt = deck.now();
+    this.startedAt = runtime.now();
     this.lastNews = startedAt;
   }
 
@@ -55,21 +63,21 @@
   }
 
   /** A blank disk of the first start has made itself known. */
-  public void blankDisk(Berth b) {
+  public void blankDisk(CoreMember b) {
     if (blanks.put(b.diskId(), b) == null) {
-      lastNews = deck.now();
+      lastNews = runtime.now();
     }
   }
 
   public void tick() {
-    long now = deck.now();
+    long now = runtime.now();
     if (!votes || decided != null || blanks.isEmpty()) {
       return;
     }
     if (now - startedAt < 2_000_000L + rank * 2_000_000L || now - lastNews < 1_500_000) {
       return;
     }
-    if (ballot != 0 && now - ballotAt < 1_000_000L + deck.random(500_000)) {
+    if (ballot != 0 && now - ballotAt < 1_000_000L + runtime.random(500_000)) {
       return;
     }
     ballot = (Math.max(promised, ballot) / 8 + 1) * 8 + rank;
@@ -77,38 +85,38 @@
     asking = true;
     promises.clear();
     accepts.clear();
-    toSeeds(new Flag("fprep").with("ballot", ballot));
+    toSeeds(new WireRecord("fprep").with("ballot", ballot));
   }
 
-  private void toSeeds(Flag f) {
+  private void toSeeds(WireRecord f) {
     for (String s : seeds) {
       if (s.equals(self)) {
         onMessage(self, f);
       } else {
-        deck.send(s, f);
+        runtime.send(s, f);
       }
     }
   }
 
-  private void reply(String to, Flag f) {
+  private void reply(String to, WireRecord f) {
     if (to.equals(self)) {
       onMessage(self, f);
     } else {
-      deck.send(to, f);
+      runtime.send(to, f);
     }
   }
 
-  public boolean onMessage(String from, Flag f) {
+  public boolean onMessage(String from, WireRecord f) {
     switch (f.kind()) {
       case "fprep" -> {
         if (votes && f.number("ballot") > promised) {
           promised = f.number("ballot");
           reply(
               from,
-              new Flag("fprom")
+              new WireRecord("fprom")
                   .with("ballot", promised)
                   .with("at", acceptedBallot)
-                  .with("value", accepted == null ? null : accepted.toFlag()));
+                  .with("value", accepted == null ? null : accepted.toWireRecord()));
         }
       }
       case "fprom" -> {
@@ -117,7 +125,8 @@
           if (promises.size() >= majority()) {
             asking = false;
             value = chooseValue();
-            toSeeds(new Flag("facc").with("ballot", ballot).with("value", value.toFlag()));
+            toSeeds(
+                new WireRecord("facc").with("ballot", ballot).with("value", value.toWireRecord()));
           }
         }
       }
@@ -125,8 +134,8 @@
         if (votes && f.number("ballot") >= promised) {
           promised = f.number("ballot");
           acceptedBallot = promised;
-          accepted = EpochRecord.of(f.flag("value"));
-          reply(from, new Flag("faccd").with("ballot", promised));
+          accepted = EpochRecord.of(f.nested("value"));
+          reply(from, new WireRecord("faccd").with("ballot", promised));
         }
       }
       case "faccd" -> {
@@ -134,7 +143,7 @@
           accepts.put(from, true);
           if (accepts.size() >= majority()) {
             decided = value;
-            deck.event(
+            runtime.event(
                 "event=core_founded members="
                     + value.members().size()
                     + " primary="
@@ -154,25 +163,25 @@
   }
 
   private EpochRecord chooseValue() {
-    Flag best = null;
-    for (Flag f : promises.values()) {
-      if (f.flag("value") != null && (best == null || f.number("at") > best.number("at"))) {
+    WireRecord best = null;
+    for (WireRecord f : promises.values()) {
+      if (f.nested("value") != null && (best == null || f.number("at") > best.number("at"))) {
         best = f;
       }
     }
     if (best != null) {
-      return EpochRecord.of(best.flag("value"));
+      return EpochRecord.of(best.nested("value"));
     }
-    List<Berth> disks = new ArrayList<>(blanks.values());
-    disks.sort(Comparator.comparing(Berth::address));
-    List<Berth> members = losses.members(disks);
-    List<Berth> backups =
+    List<CoreMember> disks = new ArrayList<>(blanks.values());
+    disks.sort(Comparator.comparing(CoreMember::address));
+    List<CoreMember> members = losses.members(disks);
+    List<CoreMember> backups =
         losses.backups(
             members.get(0),
             members.subList(1, members.size()),
             Comparator.comparing(members::indexOf),
             losses.copies());
-    String fleet = Long.toHexString(deck.random(Long.MAX_VALUE));
+    String fleet = Long.toHexString(runtime.random(Long.MAX_VALUE));
     return new EpochRecord(fleet, 1, members.get(0), backups, members, members.size());
   }
 }
--- a/src/main/java/org/otterpond/harbour/WatchListener.java
+++ b/src/main/java/org/otterpond/control/epoch/EpochListener.java
@@ -1,7 +1,9 @@
-package org.otterpond.harbour;
+package org.otterpond.control.epoch;
+
+import org.otterpond.control.state.EpochRecord;
 
 /** Told when this node's part in the core changes. */
-public interface WatchListener {
+public interface EpochListener {
   /**
    * An epoch led by this node began; continued if it led the one before and nobody else can have
    * led between.
--- a/src/main/java/org/otterpond/harbour/Watch.java
+++ b/src/main/java/org/otterpond/control/epoch/EpochReplica.java
@@ -1,4 +1,4 @@
-package org.otterpond.harbour;
+package org.otterpond.control.epoch;
 
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -11,9 +11,16 @@
 import java.util.Set;
 import java.util.TreeMap;
 import java.util.function.Consumer;
-import org.otterpond.signal.Bale;
-import org.otterpond.signal.Flag;
-import org.otterpond.signal.SignalException;
+import org.otterpond.control.state.Assignments;
+import org.otterpond.control.state.CompressedText;
+import org.otterpond.control.state.CoreMember;
+import org.otterpond.control.state.EpochRecord;
+import org.otterpond.control.state.FaultTolerance;
+import org.otterpond.control.state.ReplicatedState;
+import org.otterpond.protocol.CompressedPayload;
+import org.otterpond.protocol.ProtocolException;
+import org.otterpond.protocol.WireRecord;
+import org.otterpond.runtime.NodeRuntime;
 
 /**
  * The core's epoch machine on one disk-bearing node: witness always, and primary or backup when an
@@ -25,7 +32,7 @@
  * to the backups it names before any witness is asked to accept the record. There are as many
  * backups as losses are to be borne, so one of a group always remains.
  */
-public final class Watch {
+public final class EpochReplica {
   private static final int EPOCH_STEP = 64;
 
   /** So long a member whose disk or answers are doubtful is a backup only if there is no other. */
@@ -43,12 +50,12 @@
   /** However slowly a copy goes on, the changes that wait for its epoch do not wait for longer. */
   private static final long LONGEST_COPY = 30_000_000;
 
-  private final Deck deck;
-  private final WatchTimes times;
-  private final WatchListener listener;
-  private final Berth self;
-  private final Hold hold;
-  private final LossTolerance losses;
+  private final NodeRuntime runtime;
+  private final EpochTimeouts times;
+  private final EpochListener listener;
+  private final CoreMember self;
+  private final ReplicatedState hold;
+  private final FaultTolerance losses;
 
   // Durable, as in the journal.
   private long promised;
@@ -75,7 +82,7 @@
   private final List<Batch> waiting = new ArrayList<>();
 
   /** The members wanted next, while a batch is on its way. */
-  private List<Berth> changing;
+  private List<CoreMember> changing;
 
   private final Map<String, Long> backupHeard = new HashMap<>();
 
@@ -95,7 +102,7 @@
   private long proofAskedAt = Long.MIN_VALUE / 2;
 
   private long committedRevision;
-  private PackedText committedText;
+  private CompressedText committedText;
 
   // As backup.
   /** Until then another may still act on its authority as primary. */
@@ -143,7 +150,7 @@
   private int pendingWrites;
 
   private static final class Batch {
-    final List<Flag> entries = new ArrayList<>();
+    final List<WireRecord> entries = new ArrayList<>();
     final List<Runnable> committed = new ArrayList<>();
     boolean local;
 
@@ -170,10 +177,10 @@
     boolean copying;
     boolean accepting;
     boolean settling;
-    List<Berth> members;
+    List<CoreMember> members;
     EpochRecord base;
     EpochRecord proposal;
-    List<Berth> backups = List.of();
+    List<CoreMember> backups = List.of();
 
     /**
      * What the backups are told with the state: for how long others may still act, as seen when it
@@ -187,61 +194,61 @@
     final Set<String> accepts = new HashSet<>();
   }
 
-  public Watch(
-      Deck deck,
-      WatchTimes times,
-      WatchListener listener,
-      Berth self,
-      Hold hold,
-      LossTolerance losses) {
+  public EpochReplica(
+      NodeRuntime runtime,
+      EpochTimeouts times,
+      EpochListener listener,
+      CoreMember self,
+      ReplicatedState hold,
+      FaultTolerance losses) {
     this.losses = losses;
-    this.deck = deck;
+    this.runtime = runtime;
     this.times = times;
     this.listener = listener;
     this.self = self;
     this.hold = hold;
-    this.primaryHeard = deck.now();
+    this.primaryHeard = runtime.now();
     // What an earlier life of this process said is not known any more.
-    this.quietUntil = deck.now() + times.authority();
-    this.nextRun = deck.now() + 20_000 + deck.random(30_000);
+    this.quietUntil = runtime.now() + times.authority();
+    this.nextRun = runtime.now() + 20_000 + runtime.random(30_000);
   }
 
   /** Replays one journal record after a start. */
-  public void replay(Flag f) {
+  public void replay(WireRecord f) {
     switch (f.kind()) {
       case "promise" -> promised = Math.max(promised, f.number("epoch"));
       case "accept" -> {
-        record = EpochRecord.of(f.flag("record"));
+        record = EpochRecord.of(f.nested("record"));
         promised = Math.max(promised, record.epoch());
         known = record;
         placeLost = true;
       }
       case "begun" -> begunEpoch = Math.max(begunEpoch, f.number("epoch"));
-      case "state" -> hold.load(unpacked(f), deck.now());
-      case "claim", "free", "config", "worker", Assignments.KIND -> hold.apply(f, deck.now());
-      default -> deck.event("event=journal_record_skipped kind=" + f.kind());
+      case "state" -> hold.load(unpacked(f), runtime.now());
+      case "claim", "free", "config", "worker", Assignments.KIND -> hold.apply(f, runtime.now());
+      default -> runtime.event("event=journal_record_skipped kind=" + f.kind());
     }
     committedRevision = hold.revision();
     committedText = hold.text();
   }
 
-  private static Flag unpacked(Flag state) {
+  private static WireRecord unpacked(WireRecord state) {
     try {
-      return state.has("bale") ? Bale.unpack(state.bytes("bale")) : state;
-    } catch (SignalException e) {
+      return state.has("bale") ? CompressedPayload.unpack(state.bytes("bale")) : state;
+    } catch (ProtocolException e) {
       throw new IllegalStateException("a state that was read back once before", e);
     }
   }
 
   /** What a fresh journal must begin with to stand for this one. */
-  public List<Flag> journalBase() {
-    List<Flag> out = new ArrayList<>();
-    out.add(new Flag("promise").with("epoch", promised));
+  public List<WireRecord> journalBase() {
+    List<WireRecord> out = new ArrayList<>();
+    out.add(new WireRecord("promise").with("epoch", promised));
     if (record != null) {
-      out.add(new Flag("accept").with("record", record.toFlag()));
+      out.add(new WireRecord("accept").with("record", record.toWireRecord()));
     }
     if (begunEpoch > 0) {
-      out.add(new Flag("begun").with("epoch", begunEpoch));
+      out.add(new WireRecord("begun").with("epoch", begunEpoch));
     }
     out.add(hold.snapshot());
     return out;
@@ -268,7 +275,7 @@
     return leading && candidacy == null && begun == record.epoch() && promised == begun;
   }
 
-  Hold hold() {
+  public ReplicatedState hold() {
     return hold;
   }
 
@@ -276,7 +283,7 @@
     return committedRevision;
   }
 
-  PackedText committedText() {
+  public CompressedText committedText() {
     return committedText;
   }
 
@@ -296,8 +303,8 @@
     }
     accept(first, ok -> {});
     learn(first);
-    primaryHeard = deck.now();
-    nextRun = deck.now() + (first.primary().diskId().equals(self.diskId()) ? 200_000 : 800_000);
+    primaryHeard = runtime.now();
+    nextRun = runtime.now() + (first.primary().diskId().equals(self.diskId()) ? 200_000 : 800_000);
   }
 
   /**
@@ -309,9 +316,9 @@
     if (record == null || !known.inGroup(self.diskId())) {
       return;
     }
-    long now = deck.now();
+    long now = runtime.now();
     if (leading()) {
-      for (Berth b : record.backups()) {
+      for (CoreMember b : record.backups()) {
         if (b.address().equals(address)) {
           backupHeard.merge(
               b.diskId(), now - times.backupSilence() + times.closedGrace(), Math::min);
@@ -342,14 +349,14 @@
   // ------------------------------------------------------------------ time
 
   public void tick() {
-    long now = deck.now();
+    long now = runtime.now();
     hold.expire(now);
     giveUpProofs(now);
     if (record == null) {
       return;
     }
     if (pendingWrites > 0 && now - oldestPendingWrite > times.diskStall() && leading) {
-      deck.event("event=disk_stall_resign epoch=" + record.epoch());
+      runtime.event("event=disk_stall_resign epoch=" + record.epoch());
       resign();
       return;
     }
@@ -372,7 +379,7 @@
     if (now - primaryHeard > 2 * times.primarySilence()
         && now - lastGossip > times.primarySilence()) {
       lastGossip = now;
-      tellMembers(new Flag("rec").with("record", known.toFlag()));
+      tellMembers(new WireRecord("rec").with("record", known.toWireRecord()));
     }
     if (diskBad || retired && !needed() || !known.inGroup(self.diskId()) || now < nextRun) {
       return;
@@ -388,10 +395,10 @@
     }
   }
 
-  private void tellMembers(Flag f) {
-    for (Berth m : known.members()) {
+  private void tellMembers(WireRecord f) {
+    for (CoreMember m : known.members()) {
       if (!m.diskId().equals(self.diskId())) {
-        deck.send(m.address(), f);
+        runtime.send(m.address(), f);
       }
     }
   }
@@ -400,10 +407,10 @@
     Batch oldest = batches.isEmpty() ? null : batches.firstEntry().getValue();
     boolean late = oldest != null && now - oldest.madeAt > times.diskStall();
     boolean lost = false;
-    for (Berth b : record.backups()) {
+    for (CoreMember b : record.backups()) {
       boolean stuck = late && !oldest.at.contains(b.diskId());
       if (stuck || now - backupHeard.getOrDefault(b.diskId(), 0L) > times.backupSilence()) {
-        deck.event(
+        runtime.event(
             "event=backup_lost epoch="
                 + record.epoch()
                 + " backup="
@@ -434,15 +441,15 @@
   }
 
   private void exclude(String diskId) {
-    excluded.put(diskId, deck.now() + DOUBTED);
+    excluded.put(diskId, runtime.now() + DOUBTED);
   }
 
-  private boolean excluded(Berth m) {
-    return excluded.getOrDefault(m.diskId(), Long.MIN_VALUE) > deck.now();
+  private boolean excluded(CoreMember m) {
+    return excluded.getOrDefault(m.diskId(), Long.MIN_VALUE) > runtime.now();
   }
 
   /** Whether the member said that it is about to end. */
-  public boolean leaving(Berth m) {
+  public boolean leaving(CoreMember m) {
     return leavers.contains(m.diskId());
   }
 
@@ -460,12 +467,12 @@
    * waits, each time for longer.
    */
   private boolean reform(long now) {
-    List<Berth> there =
+    List<CoreMember> there =
         record.members().stream()
             .filter(m -> !m.diskId().equals(self.diskId()) && !silent(m, times.backupSilence()))
             .toList();
     int have = record.backups().size();
-    List<Berth> better =
+    List<CoreMember> better =
         backupsOf(there, record, Math.min(losses.copies(), record.members().size() - 1));
     long leave = record.backups().stream().filter(this::leaving).count();
     long wouldLeave = better.stream().filter(this::leaving).count();
@@ -487,19 +494,19 @@
     }
     reformFrom = now + REFORM_PAUSE * reformPauses;
     reformPauses = Math.min(MOST_REFORM_PAUSES, 2 * reformPauses);
-    deck.event(
+    runtime.event(
         "event=group_reformed epoch="
             + record.epoch()
             + " leaving="
             + leave
             + " backups="
-            + String.join(",", better.stream().map(Berth::name).toList()));
+            + String.join(",", better.stream().map(CoreMember::name).toList()));
     run(record.members());
     return true;
   }
 
-  private List<Berth> groupOf(List<Berth> backups) {
-    List<Berth> group = new ArrayList<>(backups);
+  private List<CoreMember> groupOf(List<CoreMember> backups) {
+    List<CoreMember> group = new ArrayList<>(backups);
     group.add(self);
     return group;
   }
@@ -509,22 +516,22 @@
    * few others; among equals what the group then spans counts first, and those of the group come
    * before others.
    */
-  private List<Berth> backupsOf(List<Berth> candidates, EpochRecord base, int count) {
-    List<Berth> sound = candidates.stream().filter(m -> !leaving(m) && !excluded(m)).toList();
-    List<Berth> staying = candidates.stream().filter(m -> !leaving(m)).toList();
-    List<Berth> from =
+  private List<CoreMember> backupsOf(List<CoreMember> candidates, EpochRecord base, int count) {
+    List<CoreMember> sound = candidates.stream().filter(m -> !leaving(m) && !excluded(m)).toList();
+    List<CoreMember> staying = candidates.stream().filter(m -> !leaving(m)).toList();
+    List<CoreMember> from =
         sound.size() >= count ? sound : staying.size() >= count ? staying : candidates;
     return losses.backups(
         self,
         from,
-        Comparator.comparing((Berth m) -> leaving(m))
+        Comparator.comparing((CoreMember m) -> leaving(m))
             .thenComparing(this::excluded)
             .thenComparing(m -> !base.inGroup(m.diskId())),
         count);
   }
 
-  private Flag ping(long now) {
-    return new Flag("ping")
+  private WireRecord ping(long now) {
+    return new WireRecord("ping")
         .with("epoch", record.epoch())
         .with("fleet", record.fleet())
         .with("at", now);
@@ -539,8 +546,8 @@
     if (!leading()) {
       return Long.MIN_VALUE / 2;
     }
-    long at = deck.now();
-    for (Berth b : record.backups()) {
+    long at = runtime.now();
+    for (CoreMember b : record.backups()) {
       at = Math.min(at, followedAt.getOrDefault(b.diskId(), Long.MIN_VALUE / 2));
     }
     return at;
@@ -552,12 +559,12 @@
    * gave out is in use no more. So what at most two primaries gave out is in use at any time.
    */
   public boolean mayGive() {
-    return deck.now() - followedSince() < times.authority() && deck.now() >= givingFrom;
+    return runtime.now() - followedSince() < times.authority() && runtime.now() >= givingFrom;
   }
 
   /** Whether this node leads and nobody else can by now. */
   public boolean authoritative() {
-    return deck.now() - followedSince() < times.authority();
+    return runtime.now() - followedSince() < times.authority();
   }
 
   /** From then on no primary before this one acts on its authority. */
@@ -579,7 +586,7 @@
    * Adds an entry; the callback runs once it is durable on the whole group. False if this node does
    * not lead.
    */
-  public boolean propose(Flag entry, Runnable committed) {
+  public boolean propose(WireRecord entry, Runnable committed) {
     if (!leading) {
       return false;
     }
@@ -590,10 +597,10 @@
       waiting.add(b);
       return true;
     }
-    hold.apply(entry, deck.now());
+    hold.apply(entry, runtime.now());
     if (open == null) {
       open = new Batch();
-      deck.after(0, this::closeBatch);
+      runtime.after(0, this::closeBatch);
     }
     open.entries.add(entry);
     open.committed.add(committed);
@@ -616,7 +623,7 @@
   private Batch journalOpen(long n) {
     Batch b = open;
     open = null;
-    b.madeAt = deck.now();
+    b.madeAt = runtime.now();
     batches.put(n, b);
     long epoch = record.epoch();
     Consumer<Boolean> last =
@@ -637,15 +644,15 @@
   }
 
   private void ship(long n, Batch b) {
-    b.sentAt = deck.now();
-    Flag rep =
-        new Flag("rep")
+    b.sentAt = runtime.now();
+    WireRecord rep =
+        new WireRecord("rep")
             .with("epoch", record.epoch())
             .with("seq", n)
-            .withFlags("entries", b.entries);
-    for (Berth backup : record.backups()) {
+            .withRecords("entries", b.entries);
+    for (CoreMember backup : record.backups()) {
       if (!b.at.contains(backup.diskId())) {
-        deck.send(backup.address(), rep);
+        runtime.send(backup.address(), rep);
       }
     }
   }
@@ -667,10 +674,10 @@
   }
 
   private void commit(Batch b) {
-    for (Flag e : b.entries) {
+    for (WireRecord e : b.entries) {
       if (e.kind().equals("config")) {
         committedRevision = e.number("rev");
-        committedText = PackedText.of(e);
+        committedText = CompressedText.of(e);
       }
     }
     b.committed.forEach(Runnable::run);
@@ -688,13 +695,13 @@
   }
 
   /** The same, from the next question that is asked in any case. */
-  void confirmLater(Consumer<Boolean> answer) {
+  public void confirmLater(Consumer<Boolean> answer) {
     if (!leading()) {
       answer.accept(false);
     } else if (record.backups().isEmpty()) {
       answer.accept(true);
     } else {
-      confirms.add(new Confirmation(deck.now(), answer));
+      confirms.add(new Confirmation(runtime.now(), answer));
     }
   }
 
@@ -703,8 +710,8 @@
     if (confirms.isEmpty() || !leading() || proofAskedAt > followedSince()) {
       return;
     }
-    proofAskedAt = deck.now();
-    record.backups().forEach(b -> deck.send(b.address(), ping(proofAskedAt)));
+    proofAskedAt = runtime.now();
+    record.backups().forEach(b -> runtime.send(b.address(), ping(proofAskedAt)));
   }
 
   private void giveProofs() {
@@ -733,9 +740,9 @@
     retired = true;
     if (leading) {
       resign();
-      lastNotice = deck.now();
+      lastNotice = runtime.now();
     } else {
-      tickLeaving(deck.now());
+      tickLeaving(runtime.now());
     }
   }
 
@@ -758,7 +765,7 @@
     if (leading) {
       resign();
     } else if (known.rankOf(self.diskId()) >= 0) {
-      deck.send(known.primary().address(), new Flag("bow").with("id", self.diskId()));
+      runtime.send(known.primary().address(), new WireRecord("bow").with("id", self.diskId()));
     } else if (known.epoch() == resigned) {
       tellResigned(known);
     }
@@ -772,23 +779,23 @@
     EpochRecord r = record;
     stepDown("resigned");
     resigned = r.epoch();
-    nextRun = deck.now() + 2_500_000;
+    nextRun = runtime.now() + 2_500_000;
     tellResigned(r);
   }
 
   private void tellResigned(EpochRecord r) {
-    Flag f =
-        new Flag("resign")
+    WireRecord f =
+        new WireRecord("resign")
             .with("epoch", r.epoch())
-            .with("quiet", Math.max(0, givingFrom - deck.now()));
-    r.backups().forEach(b -> deck.send(b.address(), f));
+            .with("quiet", Math.max(0, givingFrom - runtime.now()));
+    r.backups().forEach(b -> runtime.send(b.address(), f));
   }
 
   /**
    * Asks for a new epoch with other members, once the batch on its way is committed: there is
    * always a next one.
    */
-  public void changeMembers(List<Berth> members) {
+  public void changeMembers(List<CoreMember> members) {
     if (!leading()) {
       return;
     }
@@ -800,12 +807,12 @@
   }
 
   /** Whether the member has been silent for longer than the given span, as the primary sees it. */
-  public boolean silent(Berth member, long span) {
-    return deck.now() - memberHeard.getOrDefault(member.diskId(), 0L) > span;
+  public boolean silent(CoreMember member, long span) {
+    return runtime.now() - memberHeard.getOrDefault(member.diskId(), 0L) > span;
   }
 
   private void stepDown(String why) {
-    deck.event("event=stepped_down why=" + why + " epoch=" + record.epoch());
+    runtime.event("event=stepped_down why=" + why + " epoch=" + record.epoch());
     leading = false;
     candidacy = null;
     batches.clear();
@@ -814,14 +821,14 @@
     changing = null;
     List<Confirmation> unproved = List.copyOf(confirms);
     confirms.clear();
-    unproved.forEach(c -> deck.after(0, () -> c.answer().accept(false)));
-    primaryHeard = deck.now();
+    unproved.forEach(c -> runtime.after(0, () -> c.answer().accept(false)));
+    primaryHeard = runtime.now();
     listener.steppedDown();
   }
 
   // ------------------------------------------------------------- candidacy
 
-  private void run(List<Berth> members) {
+  private void run(List<CoreMember> members) {
     changing = null;
     if (open != null) {
       journalOpen(++seq);
@@ -829,15 +836,15 @@
     Candidacy c = new Candidacy();
     long top = Math.max(Math.max(promised, highestSeen), known.epoch());
     c.epoch = (top / EPOCH_STEP + 1) * EPOCH_STEP + Math.max(0, known.indexOf(self.diskId()));
-    c.startedAt = deck.now();
+    c.startedAt = runtime.now();
     c.progressAt = c.startedAt;
     c.members = members;
     c.base = known;
     candidacy = c;
-    deck.event("event=candidacy epoch=" + c.epoch + " base=" + known.epoch());
+    runtime.event("event=candidacy epoch=" + c.epoch + " base=" + known.epoch());
     promised = c.epoch;
     write(
-        new Flag("promise").with("epoch", c.epoch),
+        new WireRecord("promise").with("epoch", c.epoch),
         ok -> {
           if (!ok) {
             diskFailed();
@@ -854,8 +861,8 @@
    * newest set after which an epoch has begun, whichever records they go on from; the majorities of
    * two sets that differ in one member need not meet.
    */
-  private List<List<Berth>> agreeing(EpochRecord r) {
-    List<List<Berth>> out = new ArrayList<>();
+  private List<List<CoreMember>> agreeing(EpochRecord r) {
+    List<List<CoreMember>> out = new ArrayList<>();
     if (r.epoch() > begunEpoch) {
       out.addAll(r.priors());
     }
@@ -875,19 +882,19 @@
     if (epoch > begunEpoch) {
       begunEpoch = epoch;
       if (record.epoch() == epoch && !record.priors().isEmpty()) {
-        write(new Flag("begun").with("epoch", epoch), ok -> {});
+        write(new WireRecord("begun").with("epoch", epoch), ok -> {});
       }
     }
   }
 
   private void askPromises(Candidacy c, EpochRecord base) {
-    Set<Berth> all = new HashSet<>(c.members);
+    Set<CoreMember> all = new HashSet<>(c.members);
     agreeing(base).forEach(all::addAll);
-    for (Berth m : all) {
+    for (CoreMember m : all) {
       if (!m.diskId().equals(self.diskId()) && !c.promises.containsKey(m.diskId())) {
-        deck.send(
+        runtime.send(
             m.address(),
-            new Flag("prep")
+            new WireRecord("prep")
                 .with("epoch", c.epoch)
                 .with("to", m.diskId())
                 .with("fleet", base.fleet())
@@ -906,7 +913,7 @@
         c.members.stream()
             .allMatch(m -> c.base.hasMember(m.diskId()) || c.promises.containsKey(m.diskId()));
     if (!answered && now - c.startedAt > NEWCOMER_WAIT) {
-      deck.event("event=newcomer_silent epoch=" + c.epoch);
+      runtime.event("event=newcomer_silent epoch=" + c.epoch);
       c.members = c.base.members();
       weighPromises(c);
     }
@@ -947,7 +954,7 @@
     }
     long have = c.base.members().stream().filter(m -> c.promises.containsKey(m.diskId())).count();
     // The best that can be hoped for: nobody is left to wait for, or the group stays as it is.
-    List<Berth> stay =
+    List<CoreMember> stay =
         usable(c).stream()
             .filter(m -> c.base.inGroup(m.diskId()) && !excluded(m) && !leaving(m))
             .toList();
@@ -957,7 +964,7 @@
       choose(c);
     } else if (have >= c.base.quorum() && !c.settling) {
       c.settling = true;
-      deck.after(40_000, () -> choose(c));
+      runtime.after(40_000, () -> choose(c));
     }
   }
 
@@ -972,12 +979,12 @@
    * The members that answered and can be backups: newcomers only where a small core grows and has
    * no others.
    */
-  private List<Berth> usable(Candidacy c) {
-    List<Berth> answered =
+  private List<CoreMember> usable(Candidacy c) {
+    List<CoreMember> answered =
         c.members.stream()
             .filter(m -> !m.diskId().equals(self.diskId()) && c.promises.containsKey(m.diskId()))
             .toList();
-    List<Berth> old = answered.stream().filter(m -> c.base.hasMember(m.diskId())).toList();
+    List<CoreMember> old = answered.stream().filter(m -> c.base.hasMember(m.diskId())).toList();
     return old.size() >= copies(c) ? old : answered;
   }
 
@@ -986,7 +993,7 @@
       return;
     }
     int copies = copies(c);
-    List<Berth> by = backupsOf(usable(c), c.base, copies);
+    List<CoreMember> by = backupsOf(usable(c), c.base, copies);
     if (by.size() < copies) {
       abandon("too_few_backups");
       return;
@@ -994,7 +1001,7 @@
     c.copying = true;
     c.backups = by;
     if (c.members.size() < 2 * losses.machines() + 1) {
-      deck.event(
+      runtime.event(
           "event=core_too_small members="
               + c.members.size()
               + " losses_to_bear="
@@ -1004,22 +1011,22 @@
       propose(c);
       return;
     }
-    long now = deck.now();
+    long now = runtime.now();
     long quiet = Math.max(0, quietUntil - now);
     long gives = Math.max(0, (leading ? givingFrom : nextGivingFrom()) - now);
     // Nothing changes from here until the epoch has begun: what comes meanwhile waits.
-    c.snapshot = new SnapshotSender(deck.random(Long.MAX_VALUE - 1) + 1, hold.snapshot());
-    c.progressAt = deck.now();
+    c.snapshot = new SnapshotSender(runtime.random(Long.MAX_VALUE - 1) + 1, hold.snapshot());
+    c.progressAt = runtime.now();
     c.toldAt = c.progressAt;
     c.quiet = quiet;
     c.gives = gives;
     c.backups.forEach(b -> sendPieces(c, b, c.snapshot.due(b.diskId(), c.progressAt)));
   }
 
-  private void sendPieces(Candidacy c, Berth to, List<Flag> pieces) {
+  private void sendPieces(Candidacy c, CoreMember to, List<WireRecord> pieces) {
     pieces.forEach(
         p ->
-            deck.send(
+            runtime.send(
                 to.address(),
                 p.with("epoch", c.epoch)
                     .with("to", to.diskId())
@@ -1029,7 +1036,7 @@
   }
 
   private void copyOn(Candidacy c, long now) {
-    for (Berth b : c.backups) {
+    for (CoreMember b : c.backups) {
       if (!c.copied.contains(b.diskId())) {
         sendPieces(c, b, c.snapshot.again(b.diskId(), now, times.diskStall()));
       }
@@ -1037,17 +1044,17 @@
     if (now - c.toldAt > times.phase() / 3) {
       // A copy may last; those who promised this epoch must not take its candidate for dead.
       c.toldAt = now;
-      tellMembers(new Flag("copying").with("epoch", c.epoch));
+      tellMembers(new WireRecord("copying").with("epoch", c.epoch));
     }
   }
 
-  private void pieceHeld(Candidacy c, Flag f) {
-    long now = deck.now();
+  private void pieceHeld(Candidacy c, WireRecord f) {
+    long now = runtime.now();
     if (!c.snapshot.acknowledged(f.text("id"), f.number("snapshot"), (int) f.number("held"), now)) {
       return;
     }
     c.progressAt = now;
-    for (Berth b : c.backups) {
+    for (CoreMember b : c.backups) {
       if (b.diskId().equals(f.text("id"))) {
         sendPieces(c, b, c.snapshot.due(b.diskId(), now));
       }
@@ -1056,9 +1063,9 @@
 
   private void propose(Candidacy c) {
     c.accepting = true;
-    c.progressAt = deck.now();
+    c.progressAt = runtime.now();
     c.snapshot = null;
-    List<List<Berth>> priors =
+    List<List<CoreMember>> priors =
         agreeing(c.base).stream().filter(s -> !EpochRecord.sameSet(s, c.members)).toList();
     c.proposal =
         new EpochRecord(
@@ -1071,14 +1078,14 @@
             acceptedBy(c, self.diskId());
           }
         });
-    Set<Berth> all = new HashSet<>(c.members);
+    Set<CoreMember> all = new HashSet<>(c.members);
     agreeing(c.base).forEach(all::addAll);
-    for (Berth m : all) {
+    for (CoreMember m : all) {
       if (!m.diskId().equals(self.diskId())) {
-        deck.send(
+        runtime.send(
             m.address(),
-            new Flag("acc")
-                .with("record", p.toFlag())
+            new WireRecord("acc")
+                .with("record", p.toWireRecord())
                 .with("to", m.diskId())
                 .with("from", self.address()));
       }
@@ -1097,7 +1104,7 @@
   private void begin(Candidacy c) {
     candidacy = null;
     boolean continued = leading;
-    excluded.values().removeIf(until -> until <= deck.now());
+    excluded.values().removeIf(until -> until <= runtime.now());
     leavers.removeIf(id -> !c.proposal.hasMember(id));
     if (!continued) {
       memberHeard.clear();
@@ -1107,7 +1114,7 @@
     begun = c.epoch;
     hasBegun(c.epoch);
     seq = 0;
-    long now = deck.now();
+    long now = runtime.now();
     backupHeard.clear();
     followedAt.clear();
     c.backups.forEach(b -> backupHeard.put(b.diskId(), now));
@@ -1126,13 +1133,13 @@
     known = c.proposal;
     committedRevision = hold.revision();
     committedText = hold.text();
-    deck.event(
+    runtime.event(
         "event=epoch_began epoch="
             + c.epoch
             + " primary="
             + self.name()
             + " backups="
-            + String.join(",", c.backups.stream().map(Berth::name).toList())
+            + String.join(",", c.backups.stream().map(CoreMember::name).toList())
             + " members="
             + c.members.size()
             + " claims="
@@ -1141,7 +1148,7 @@
             + hold.revision());
     boolean spans = losses.spans(groupOf(c.backups));
     if ((losses.zones() > 0 || losses.regions() > 0) && (!spans || losses.margin(c.members) < 0)) {
-      deck.event(
+      runtime.event(
           "event=core_not_spread epoch="
               + c.epoch
               + " zones_to_bear="
@@ -1171,9 +1178,9 @@
   }
 
   private void abandon(String why) {
-    deck.event("event=candidacy_abandoned epoch=" + candidacy.epoch + " why=" + why);
+    runtime.event("event=candidacy_abandoned epoch=" + candidacy.epoch + " why=" + why);
     if (candidacy.copying && !candidacy.accepting) {
-      for (Berth b : candidacy.backups) {
+      for (CoreMember b : candidacy.backups) {
         if (!candidacy.copied.contains(b.diskId())) {
           exclude(b.diskId());
         }
@@ -1183,24 +1190,24 @@
     if (leading && !known.primary().diskId().equals(self.diskId())) {
       stepDown(why);
     }
-    nextRun = deck.now() + 150_000 + deck.random(400_000);
+    nextRun = runtime.now() + 150_000 + runtime.random(400_000);
   }
 
   // -------------------------------------------------------------- messages
 
   /** Takes a message of the core; false if it is none. */
-  public boolean onMessage(String from, Flag f) {
+  public boolean onMessage(String from, WireRecord f) {
     switch (f.kind()) {
       case "prep" -> onPrepare(f);
       case "prom" -> {
         heardOf(f.text("id"), f.truth("leaving"));
         if (candidacy != null && candidacy.epoch == f.number("epoch")) {
-          promisedBy(candidacy, f.text("id"), EpochRecord.of(f.flag("record")));
+          promisedBy(candidacy, f.text("id"), EpochRecord.of(f.nested("record")));
         }
       }
       case "nack" -> {
         highestSeen = Math.max(highestSeen, f.number("promised"));
-        learn(EpochRecord.of(f.flag("record")));
+        learn(EpochRecord.of(f.nested("record")));
         if (candidacy != null && f.number("promised") > candidacy.epoch && !candidacy.accepting) {
           abandon("outbid");
         }
@@ -1215,7 +1222,7 @@
       }
       case "copying" -> {
         if (promised == f.number("epoch") && promised == promisedTo) {
-          leaveTo(deck.now());
+          leaveTo(runtime.now());
         }
       }
       case "snapok" -> {
@@ -1237,7 +1244,7 @@
       case "rack" -> onReplicated(f);
       case "repno" -> {
         highestSeen = Math.max(highestSeen, f.number("promised"));
-        learn(EpochRecord.of(f.flag("record")));
+        learn(EpochRecord.of(f.nested("record")));
         if (leading() && record.epoch() == f.number("epoch")) {
           if (f.truth("disk")) {
             exclude(f.text("id"));
@@ -1250,14 +1257,14 @@
         if (leading() && f.number("epoch") == 0) {
           // A blank disk at a member's address: it may know nobody else who tells it where the core
           // is.
-          deck.send(from, new Flag("harbour").with("record", record.toFlag()));
+          runtime.send(from, new WireRecord("harbour").with("record", record.toWireRecord()));
         }
         onPong(f);
       }
       case "bow" -> {
         leavers.add(f.text("id"));
         if (leading()) {
-          reform(deck.now());
+          reform(runtime.now());
         }
       }
       case "resign" -> {
@@ -1268,9 +1275,9 @@
             && !diskBad) {
           exclude(record.primary().diskId());
           // It has stopped acting as primary, and each backup is told so; they take their turns.
-          quietUntil = deck.now() + f.number("quiet");
+          quietUntil = runtime.now() + f.number("quiet");
           long epoch = record.epoch();
-          deck.after(
+          runtime.after(
               record.rankOf(self.diskId()) * times.rankStep() + (retired ? LEAVER_LATER : 0),
               () -> {
                 if (!leading
@@ -1283,7 +1290,7 @@
               });
         }
       }
-      case "rec" -> learn(EpochRecord.of(f.flag("record")));
+      case "rec" -> learn(EpochRecord.of(f.nested("record")));
       default -> {
         return false;
       }
@@ -1291,7 +1298,7 @@
     return true;
   }
 
-  private void onPrepare(Flag f) {
+  private void onPrepare(WireRecord f) {
     if (!self.diskId().equals(f.text("to"))
         || record != null && !record.fleet().equals(f.text("fleet"))) {
       return;
@@ -1305,11 +1312,11 @@
       return;
     }
     if (e <= promised || mine > f.number("base")) {
-      deck.send(
+      runtime.send(
           from,
-          new Flag("nack")
+          new WireRecord("nack")
               .with("promised", promised)
-              .with("record", record == null ? null : record.toFlag()));
+              .with("record", record == null ? null : record.toWireRecord()));
       return;
     }
     promised = e;
@@ -1318,23 +1325,23 @@
       stepDown("promised_higher");
     }
     candidacy = null;
-    primaryHeard = deck.now();
-    nextRun = deck.now() + times.phase() + deck.random(300_000);
+    primaryHeard = runtime.now();
+    nextRun = runtime.now() + times.phase() + runtime.random(300_000);
     promise(e, from);
   }
 
   private void promise(long e, String from) {
     write(
-        new Flag("promise").with("epoch", e),
+        new WireRecord("promise").with("epoch", e),
         ok -> {
           if (ok) {
-            deck.send(
+            runtime.send(
                 from,
-                new Flag("prom")
+                new WireRecord("prom")
                     .with("epoch", e)
                     .with("id", self.diskId())
                     .with("leaving", retired ? true : null)
-                    .with("record", record == null ? null : record.toFlag()));
+                    .with("record", record == null ? null : record.toWireRecord()));
           } else {
             diskFailed();
           }
@@ -1344,20 +1351,20 @@
   /** Another is about to begin an epoch, and is given the time for it. */
   private void leaveTo(long now) {
     primaryHeard = now;
-    nextRun = Math.max(nextRun, now + times.phase() + deck.random(300_000));
+    nextRun = Math.max(nextRun, now + times.phase() + runtime.random(300_000));
   }
 
-  private void onPiece(Flag f) {
+  private void onPiece(WireRecord f) {
     long e = f.number("epoch");
     if (!self.diskId().equals(f.text("to"))) {
       return;
     }
     if (e < promised) {
-      deck.send(
+      runtime.send(
           f.text("from"),
-          new Flag("nack")
+          new WireRecord("nack")
               .with("promised", promised)
-              .with("record", record == null ? null : record.toFlag()));
+              .with("record", record == null ? null : record.toWireRecord()));
       return;
     }
     promised = e;
@@ -1365,20 +1372,20 @@
       stepDown("took_snapshot");
     }
     candidacy = null;
-    leaveTo(deck.now());
+    leaveTo(runtime.now());
     long snapshot = f.number("snapshot");
     if (snapshot == installed) {
       // The word of it was lost. It follows the state to the disk.
-      write(new Flag("promise").with("epoch", e), ok -> taken(ok, f));
+      write(new WireRecord("promise").with("epoch", e), ok -> taken(ok, f));
       return;
     }
     if (arriving == null || !arriving.of(snapshot)) {
       arriving = new SnapshotReceiver(snapshot);
     }
     int held = arriving.take(f);
-    deck.send(
+    runtime.send(
         f.text("from"),
-        new Flag("snapheld")
+        new WireRecord("snapheld")
             .with("epoch", e)
             .with("id", self.diskId())
             .with("snapshot", snapshot)
@@ -1390,39 +1397,39 @@
     }
   }
 
-  private void install(Flag f, byte[] packed) {
-    Flag state;
+  private void install(WireRecord f, byte[] packed) {
+    WireRecord state;
     try {
-      state = Bale.unpack(packed);
-    } catch (SignalException x) {
+      state = CompressedPayload.unpack(packed);
+    } catch (ProtocolException x) {
       // What was held before stays; the candidate hears nothing and goes on without this member.
-      deck.event(
+      runtime.event(
           "event=snapshot_unreadable epoch=" + f.number("epoch") + " cause=" + x.getMessage());
       return;
     }
-    long now = deck.now();
+    long now = runtime.now();
     quietUntil = Math.max(quietUntil, now + f.number("quiet"));
     formerSince = now + f.number("gives");
     hold.load(state, now);
     committedRevision = hold.revision();
     committedText = hold.text();
     installed = f.number("snapshot");
-    write(new Flag("promise").with("epoch", f.number("epoch")), ok -> {});
-    write(new Flag("state").with("bale", packed), ok -> taken(ok, f));
+    write(new WireRecord("promise").with("epoch", f.number("epoch")), ok -> {});
+    write(new WireRecord("state").with("bale", packed), ok -> taken(ok, f));
   }
 
-  private void taken(boolean ok, Flag f) {
+  private void taken(boolean ok, WireRecord f) {
     if (ok) {
-      deck.send(
+      runtime.send(
           f.text("from"),
-          new Flag("snapok").with("epoch", f.number("epoch")).with("id", self.diskId()));
+          new WireRecord("snapok").with("epoch", f.number("epoch")).with("id", self.diskId()));
     } else {
       diskFailed();
     }
   }
 
-  private void onAccept(Flag f) {
-    EpochRecord r = EpochRecord.of(f.flag("record"));
+  private void onAccept(WireRecord f) {
+    EpochRecord r = EpochRecord.of(f.nested("record"));
     if (!self.diskId().equals(f.text("to")) || r == null) {
       return;
     }
@@ -1430,11 +1437,11 @@
       return;
     }
     if (r.epoch() < promised) {
-      deck.send(
+      runtime.send(
           f.text("from"),
-          new Flag("nack")
+          new WireRecord("nack")
               .with("promised", promised)
-              .with("record", record == null ? null : record.toFlag()));
+              .with("record", record == null ? null : record.toWireRecord()));
       return;
     }
     boolean again = record != null && record.epoch() == r.epoch();
@@ -1445,15 +1452,15 @@
     Consumer<Boolean> answer =
         ok -> {
           if (ok) {
-            deck.send(
+            runtime.send(
                 f.text("from"),
-                new Flag("accd").with("epoch", r.epoch()).with("id", self.diskId()));
+                new WireRecord("accd").with("epoch", r.epoch()).with("id", self.diskId()));
           } else {
             diskFailed();
           }
         };
     if (again) {
-      write(new Flag("promise").with("epoch", promised), answer);
+      write(new WireRecord("promise").with("epoch", promised), answer);
     } else {
       accept(r, answer);
       learn(r);
@@ -1465,41 +1472,42 @@
     promised = Math.max(promised, r.epoch());
     lastSeq = 0;
     placeLost = false;
-    primaryHeard = deck.now();
-    write(new Flag("accept").with("record", r.toFlag()), done);
+    primaryHeard = runtime.now();
+    write(new WireRecord("accept").with("record", r.toWireRecord()), done);
   }
 
-  private void onReplicate(String from, Flag f) {
+  private void onReplicate(String from, WireRecord f) {
     long e = f.number("epoch");
     if (record == null || record.epoch() != e || promised != e || diskBad) {
-      deck.send(
+      runtime.send(
           from,
-          new Flag("repno")
+          new WireRecord("repno")
               .with("epoch", e)
               .with("promised", promised)
               .with("id", self.diskId())
               .with("disk", diskBad ? true : null)
-              .with("record", record == null ? null : record.toFlag()));
+              .with("record", record == null ? null : record.toWireRecord()));
       return;
     }
-    primaryHeard = deck.now();
+    primaryHeard = runtime.now();
     long n = f.number("seq");
     if (placeLost || n > lastSeq + 1) {
       // Said at once: only another epoch, which copies the state, makes this one a backup again.
       lostPlace(from, e);
       return;
     }
-    List<Flag> entries = f.flags("entries");
+    List<WireRecord> entries = f.records("entries");
     Consumer<Boolean> answer =
         ok -> {
           if (ok) {
-            deck.send(
-                from, new Flag("rack").with("epoch", e).with("seq", n).with("id", self.diskId()));
+            runtime.send(
+                from,
+                new WireRecord("rack").with("epoch", e).with("seq", n).with("id", self.diskId()));
           } else {
             diskFailed();
-            deck.send(
+            runtime.send(
                 from,
-                new Flag("repno")
+                new WireRecord("repno")
                     .with("epoch", e)
                     .with("promised", promised)
                     .with("id", self.diskId())
@@ -1507,12 +1515,12 @@
           }
         };
     if (n <= lastSeq) {
-      write(new Flag("promise").with("epoch", promised), answer);
+      write(new WireRecord("promise").with("epoch", promised), answer);
       return;
     }
     lastSeq = n;
     for (int i = 0; i < entries.size(); i++) {
-      hold.apply(entries.get(i), deck.now());
+      hold.apply(entries.get(i), runtime.now());
       write(entries.get(i), i == entries.size() - 1 ? answer : ok -> {});
     }
     committedRevision = hold.revision();
@@ -1520,17 +1528,17 @@
   }
 
   private void lostPlace(String from, long e) {
-    deck.event("event=place_lost epoch=" + e);
-    deck.send(
+    runtime.event("event=place_lost epoch=" + e);
+    runtime.send(
         from,
-        new Flag("repno")
+        new WireRecord("repno")
             .with("epoch", e)
             .with("promised", promised)
             .with("id", self.diskId())
-            .with("record", record.toFlag()));
+            .with("record", record.toWireRecord()));
   }
 
-  private void onReplicated(Flag f) {
+  private void onReplicated(WireRecord f) {
     if (!leading() || record.epoch() != f.number("epoch")) {
       return;
     }
@@ -1538,8 +1546,8 @@
     if (record.rankOf(id) < 0) {
       return;
     }
-    backupHeard.put(id, deck.now());
-    memberHeard.put(id, deck.now());
+    backupHeard.put(id, runtime.now());
+    memberHeard.put(id, runtime.now());
     Batch b = batches.get(f.number("seq"));
     if (b != null) {
       b.at.add(id);
@@ -1547,9 +1555,9 @@
     }
   }
 
-  private void onPing(String from, Flag f) {
+  private void onPing(String from, WireRecord f) {
     if (record == null) {
-      deck.send(from, new Flag("pong").with("id", self.diskId()).with("epoch", 0));
+      runtime.send(from, new WireRecord("pong").with("id", self.diskId()).with("epoch", 0));
       return;
     }
     if (!record.fleet().equals(f.text("fleet"))) {
@@ -1560,33 +1568,33 @@
     if (e == record.epoch()) {
       // Only who has begun an epoch pings in its name.
       hasBegun(e);
-      primaryHeard = deck.now();
+      primaryHeard = runtime.now();
       if (promised == e) {
         follows = true;
-        quietUntil = Math.max(quietUntil, deck.now() + times.authority());
+        quietUntil = Math.max(quietUntil, runtime.now() + times.authority());
         if (placeLost && record.rankOf(self.diskId()) >= 0) {
           lostPlace(from, e);
         }
       }
     }
-    deck.send(
+    runtime.send(
         from,
-        new Flag("pong")
+        new WireRecord("pong")
             .with("at", follows ? f.number("at") : null)
             .with("id", self.diskId())
             .with("epoch", record.epoch())
             .with("promised", promised)
             .with("disk", diskBad ? true : null)
             .with("leaving", retired ? true : null)
-            .with("record", record.epoch() > e ? record.toFlag() : null));
+            .with("record", record.epoch() > e ? record.toWireRecord() : null));
   }
 
-  private void onPong(Flag f) {
-    learn(EpochRecord.of(f.flag("record")));
+  private void onPong(WireRecord f) {
+    learn(EpochRecord.of(f.nested("record")));
     if (!leading()) {
       return;
     }
-    long now = deck.now();
+    long now = runtime.now();
     String id = f.text("id");
     memberHeard.put(id, now);
     heardOf(id, f.truth("leaving"));
@@ -1602,12 +1610,12 @@
       giveProofs();
     }
     if (f.number("epoch") < record.epoch()) {
-      for (Berth m : record.members()) {
+      for (CoreMember m : record.members()) {
         if (m.diskId().equals(id)) {
-          deck.send(
+          runtime.send(
               m.address(),
-              new Flag("acc")
-                  .with("record", record.toFlag())
+              new WireRecord("acc")
+                  .with("record", record.toWireRecord())
                   .with("to", id)
                   .with("from", self.address()));
         }
@@ -1621,7 +1629,7 @@
    * Writes a record. After one that was refused none counts before the disk holds everything again:
    * what is said of a later record may rest on the one that is missing.
    */
-  private void write(Flag f, Consumer<Boolean> done) {
+  private void write(WireRecord f, Consumer<Boolean> done) {
     journal(
         f,
         ok -> {
@@ -1630,22 +1638,22 @@
         });
   }
 
-  private void journal(Flag f, Consumer<Boolean> done) {
+  private void journal(WireRecord f, Consumer<Boolean> done) {
     if (pendingWrites++ == 0) {
-      oldestPendingWrite = deck.now();
+      oldestPendingWrite = runtime.now();
     }
-    deck.journal(
+    runtime.journal(
         f,
         ok -> {
           pendingWrites--;
-          oldestPendingWrite = deck.now();
+          oldestPendingWrite = runtime.now();
           done.accept(ok);
         });
   }
 
   private void diskFailed() {
     if (!diskBad) {
-      deck.event("event=disk_refused");
+      runtime.event("event=disk_refused");
       diskBad = true;
       probeDisk();
     }
@@ -1663,10 +1671,10 @@
    * this node again.
    */
   private void probeDisk() {
-    deck.after(
+    runtime.after(
         500_000,
         () -> {
-          List<Flag> all = journalBase();
+          List<WireRecord> all = journalBase();
           refusedSinceProbe = false;
           boolean[] good = {true};
           for (int i = 0; i < all.size(); i++) {
@@ -1686,7 +1694,7 @@
   private void probed(boolean good) {
     if (good) {
       diskBad = false;
-      deck.event("event=disk_recovered");
+      runtime.event("event=disk_recovered");
     } else {
       probeDisk();
     }
--- a/src/main/java/org/otterpond/harbour/WatchTimes.java
+++ b/src/main/java/org/otterpond/control/epoch/EpochTimeouts.java
@@ -1,4 +1,4 @@
-package org.otterpond.harbour;
+package org.otterpond.control.epoch;
 
 /**
  * The core's time-outs, in microseconds. A primary acts on its authority alone only for {@code
@@ -8,7 +8,7 @@
  * most. The authority is shorter than {@code primarySilence}, so a takeover after silence waits for
  * nothing.
  */
-public record WatchTimes(
+public record EpochTimeouts(
     long ping,
     long backupSilence,
     long primarySilence,
@@ -20,8 +20,8 @@
     long authority,
     long lent,
     long proof) {
-  public static WatchTimes standard() {
-    return new WatchTimes(
+  public static EpochTimeouts standard() {
+    return new EpochTimeouts(
         150_000, 500_000, 650_000, 250_000, 250_000, 900_000, 700_000, 250_000, 550_000, 2_000_000,
         700_000);
   }
--- a/src/main/java/org/otterpond/harbour/SnapshotReceiver.java
+++ b/src/main/java/org/otterpond/control/epoch/SnapshotReceiver.java
@@ -1,7 +1,7 @@
-package org.otterpond.harbour;
+package org.otterpond.control.epoch;
 
 import java.io.ByteArrayOutputStream;
-import org.otterpond.signal.Flag;
+import org.otterpond.protocol.WireRecord;
 
 /**
  * A snapshot that arrives in numbered pieces. It is worth nothing before it is whole: the state in
@@ -25,7 +25,7 @@
   }
 
   /** Takes the piece if it is the next one; how many are held then. */
-  int take(Flag piece) {
+  int take(WireRecord piece) {
     byte[] next = piece.bytes("bytes");
     if (piece.number("piece") == held && !whole() && bytes.size() + next.length <= MOST) {
       bytes.writeBytes(next);
--- a/src/main/java/org/otterpond/harbour/SnapshotSender.java
+++ b/src/main/java/org/otterpond/control/epoch/SnapshotSender.java
@@ -1,12 +1,12 @@
-package org.otterpond.harbour;
+package org.otterpond.control.epoch;
 
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import org.otterpond.signal.Bale;
-import org.otterpond.signal.Flag;
+import org.otterpond.protocol.CompressedPayload;
+import org.otterpond.protocol.WireRecord;
 
 /**
  * One snapshot on its way to the backups of a coming epoch, in numbered pieces. A few pieces are
@@ -42,9 +42,9 @@
   /**
    * @param number names this snapshot, so that pieces of two are never put together
    */
-  SnapshotSender(long number, Flag state) {
+  SnapshotSender(long number, WireRecord state) {
     this.number = number;
-    this.packed = Bale.pack(state);
+    this.packed = CompressedPayload.pack(state);
     this.pieces = (packed.length + PIECE - 1) / PIECE;
   }
 
@@ -53,12 +53,12 @@
   }
 
   /** The pieces to be sent to this receiver now. */
-  List<Flag> due(String receiver, long now) {
+  List<WireRecord> due(String receiver, long now) {
     Progress p = receivers.computeIfAbsent(receiver, r -> new Progress());
     if (p.sent == 0) {
       p.heardAt = now;
     }
-    List<Flag> out = new ArrayList<>();
+    List<WireRecord> out = new ArrayList<>();
     while (p.sent < pieces && p.sent < p.held + p.window) {
       p.sentAt.put(p.sent, now);
       out.add(piece(p.sent++));
@@ -69,7 +69,7 @@
   /**
    * One piece again, if the receiver has said nothing for so long: what was out to it may be lost.
    */
-  List<Flag> again(String receiver, long now, long patience) {
+  List<WireRecord> again(String receiver, long now, long patience) {
     Progress p = receivers.get(receiver);
     if (p == null || now - p.heardAt < patience) {
       return List.of();
@@ -96,9 +96,9 @@
     return true;
   }
 
-  private Flag piece(int at) {
+  private WireRecord piece(int at) {
     int from = at * PIECE;
-    return new Flag("snappiece")
+    return new WireRecord("snappiece")
         .with("snapshot", number)
         .with("piece", at)
         .with("of", pieces)
--- a/src/main/java/org/otterpond/harbour/ChangeLog.java
+++ b/src/main/java/org/otterpond/control/primary/ConfigurationChangeLog.java
@@ -1,19 +1,19 @@
-package org.otterpond.harbour;
+package org.otterpond.control.primary;
 
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.List;
-import org.otterpond.signal.Flag;
+import org.otterpond.protocol.WireRecord;
 
 /**
  * The newest changes of the configuration, each on the one before, as they were given. A node a few
  * versions behind is sent these and not the whole text.
  */
-final class ChangeLog {
+final class ConfigurationChangeLog {
   private static final int MOST = 32;
   private static final int MOST_BYTES = 256 * 1024;
 
-  private final ArrayDeque<Flag> changes = new ArrayDeque<>();
+  private final ArrayDeque<WireRecord> changes = new ArrayDeque<>();
   private int bytes;
 
   /**
@@ -24,7 +24,8 @@
     if (!changes.isEmpty() && changes.peekLast().number("rev") != base) {
       clear();
     }
-    changes.add(new Flag("change").with("base", base).with("rev", revision).with("change", packed));
+    changes.add(
+        new WireRecord("change").with("base", base).with("rev", revision).with("change", packed));
     bytes += packed.length;
     while (changes.size() > MOST || bytes > MOST_BYTES) {
       bytes -= changes.poll().bytes("change").length;
@@ -40,11 +41,11 @@
    * The changes that lead from one version to another, in their order; none if not all are known or
    * they are long.
    */
-  List<Flag> between(long from, long to, long longest) {
-    List<Flag> out = new ArrayList<>();
+  List<WireRecord> between(long from, long to, long longest) {
+    List<WireRecord> out = new ArrayList<>();
     long at = from;
     long size = 0;
-    for (Flag c : changes) {
+    for (WireRecord c : changes) {
       if (c.number("base") == at) {
         out.add(c);
         at = c.number("rev");
--- a/src/main/java/org/otterpond/harbour/OrderReading.java
+++ b/src/main/java/org/otterpond/control/primary/ConfigurationWriteParser.java
@@ -1,29 +1,32 @@
-package org.otterpond.harbour;
+package org.otterpond.control.primary;
 
 import com.google.gson.JsonObject;
-import org.otterpond.chart.ChartException;
-import org.otterpond.chart.ConfigurationReader;
-import org.otterpond.chart.Fields;
+import org.otterpond.config.ConfigException;
+import org.otterpond.config.ConfigurationParser;
+import org.otterpond.config.JsonFields;
+import org.otterpond.control.state.CompressedText;
+import org.otterpond.control.state.ParsedConfiguration;
 
 /**
  * Reads an operator's order, on top of what is in force. It touches nothing but what it is given.
  */
-final class OrderReading implements Runnable {
+final class ConfigurationWriteParser implements Runnable {
   private final String kind;
   private final String text;
-  private final ReadConfiguration current;
-  private final PackedText currentText;
+  private final ParsedConfiguration current;
+  private final CompressedText currentText;
   private long revision;
   private String unreadable = "body: not read to its end";
   private String invalid;
-  private ReadConfiguration result;
-  private PackedText packed;
+  private ParsedConfiguration result;
+  private CompressedText packed;
 
   /**
    * @param current what is in force, if it has been read, else null
    * @param currentText its text, or null if there is none
    */
-  OrderReading(String kind, String text, ReadConfiguration current, PackedText currentText) {
+  ConfigurationWriteParser(
+      String kind, String text, ParsedConfiguration current, CompressedText currentText) {
     this.kind = kind;
     this.text = text;
     this.current = current;
@@ -31,7 +34,7 @@
   }
 
   boolean isLong() {
-    return ReadConfiguration.isLong(
+    return ParsedConfiguration.isLong(
         text.length(), modifies() && currentText != null ? currentText.packed().length : 0);
   }
 
@@ -53,11 +56,11 @@
     return invalid;
   }
 
-  ReadConfiguration result() {
+  ParsedConfiguration result() {
     return result;
   }
 
-  PackedText packed() {
+  CompressedText packed() {
     return packed;
   }
 
@@ -65,30 +68,30 @@
   public void run() {
     JsonObject given;
     try {
-      given = Fields.parse(text);
-      revision = Fields.of(given, "").whole("revision", 1, Long.MAX_VALUE);
+      given = JsonFields.parse(text);
+      revision = JsonFields.of(given, "").whole("revision", 1, Long.MAX_VALUE);
       unreadable = null;
-    } catch (ChartException e) {
+    } catch (ConfigException e) {
       unreadable = e.getMessage();
       return;
     }
     invalid = "body: not read to its end";
     try {
-      JsonObject whole = modifies() ? ConfigurationReader.modify(currentWhole(), given) : given;
+      JsonObject whole = modifies() ? ConfigurationParser.modify(currentWhole(), given) : given;
       String full = whole.toString();
       result =
-          new ReadConfiguration(revision, whole, ConfigurationReader.read(whole), full.length());
-      packed = PackedText.of(full);
+          new ParsedConfiguration(revision, whole, ConfigurationParser.read(whole), full.length());
+      packed = CompressedText.of(full);
       invalid = null;
-    } catch (ChartException e) {
+    } catch (ConfigException e) {
       invalid = e.getMessage();
     }
   }
 
-  private JsonObject currentWhole() throws ChartException {
+  private JsonObject currentWhole() throws ConfigException {
     if (current != null) {
       return current.whole();
     }
-    return currentText == null ? new JsonObject() : Fields.parse(currentText.unpacked());
+    return currentText == null ? new JsonObject() : JsonFields.parse(currentText.unpacked());
   }
 }
--- a/src/main/java/org/otterpond/harbour/Membership.java
+++ b/src/main/java/org/otterpond/control/primary/CoreMembership.java
@@ -1,15 +1,20 @@
-package org.otterpond.harbour;
+package org.otterpond.control.primary;
 
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
+import org.otterpond.control.epoch.EpochReplica;
+import org.otterpond.control.state.CoreMember;
+import org.otterpond.control.state.EpochRecord;
+import org.otterpond.control.state.FaultTolerance;
+import org.otterpond.runtime.NodeRuntime;
 
 /**
  * Who should be a member of the core next, as its primary sees it. One disk is taken in or one put
  * out at a time, or one for another, so that the majorities before and after meet.
  */
-final class Membership {
+final class CoreMembership {
   private static final long DEAD = 1_500_000;
 
   /**
@@ -36,7 +41,7 @@
   private static final int MOST_DOUBLINGS = 4;
 
   /** A machine with a disk that holds a lease and is no member. */
-  record Newcomer(Berth berth, long firstSeen) {}
+  record Newcomer(CoreMember member, long firstSeen) {}
 
   private record Tried(long at, int times) {
     boolean rests(long now) {
@@ -44,43 +49,43 @@
     }
   }
 
-  private final Deck deck;
-  private final Watch watch;
-  private final LossTolerance losses;
+  private final NodeRuntime runtime;
+  private final EpochReplica watch;
+  private final FaultTolerance losses;
   private final Map<String, Tried> tried = new HashMap<>();
   private long changedAt;
 
-  Membership(Deck deck, Watch watch, LossTolerance losses) {
-    this.deck = deck;
+  CoreMembership(NodeRuntime runtime, EpochReplica watch, FaultTolerance losses) {
+    this.runtime = runtime;
     this.watch = watch;
     this.losses = losses;
   }
 
   void tick(List<Newcomer> there) {
-    long now = deck.now();
+    long now = runtime.now();
     if (now - changedAt < AGAIN) {
       return;
     }
     EpochRecord r = watch.record();
-    List<Berth> members = r.members();
+    List<CoreMember> members = r.members();
     members.forEach(m -> tried.remove(m.diskId()));
-    List<Berth> fresh = new ArrayList<>();
+    List<CoreMember> fresh = new ArrayList<>();
     for (Newcomer n : there) {
-      Tried t = tried.get(n.berth().diskId());
-      if (t != null && t.rests(now) || r.hasMember(n.berth().diskId())) {
+      Tried t = tried.get(n.member().diskId());
+      if (t != null && t.rests(now) || r.hasMember(n.member().diskId())) {
         continue;
       }
-      Berth old = at(members, n.berth().address());
+      CoreMember old = at(members, n.member().address());
       if (old != null) {
         // The machine came back without its disk: what that held votes no more.
-        change(r, n.berth(), old);
+        change(r, n.member(), old);
         return;
       }
       if (now - n.firstSeen() > SEEN) {
-        fresh.add(n.berth());
+        fresh.add(n.member());
       }
     }
-    Berth dead = missing(r, fresh.isEmpty() ? DROP : DEAD);
+    CoreMember dead = missing(r, fresh.isEmpty() ? DROP : DEAD);
     if (!fresh.isEmpty() && dead != null) {
       change(r, best(members, fresh, dead), dead);
     } else if (dead != null && members.size() > r.target()) {
@@ -90,7 +95,7 @@
     }
   }
 
-  private static Berth at(List<Berth> members, String address) {
+  private static CoreMember at(List<CoreMember> members, String address) {
     return members.stream().filter(m -> m.address().equals(address)).findFirst().orElse(null);
   }
 
@@ -98,7 +103,7 @@
    * A member that has been silent for so long; where somebody waits for its place, also one that is
    * leaving.
    */
-  private Berth missing(EpochRecord r, long span) {
+  private CoreMember missing(EpochRecord r, long span) {
     return r.members().stream()
         .filter(
             m ->
@@ -108,10 +113,10 @@
         .orElse(null);
   }
 
-  private Berth best(List<Berth> members, List<Berth> fresh, Berth instead) {
-    Berth best = null;
+  private CoreMember best(List<CoreMember> members, List<CoreMember> fresh, CoreMember instead) {
+    CoreMember best = null;
     int most = Integer.MIN_VALUE;
-    for (Berth b : fresh) {
+    for (CoreMember b : fresh) {
       int margin = losses.margin(changed(members, b, instead));
       if (margin > most) {
         best = b;
@@ -125,10 +130,10 @@
    * With every member in touch: grows, and leaves nowhere so many that a loss to be borne takes a
    * majority.
    */
-  private void reshape(EpochRecord r, List<Berth> fresh) {
-    List<Berth> members = r.members();
+  private void reshape(EpochRecord r, List<CoreMember> fresh) {
+    List<CoreMember> members = r.members();
     if (losses.margin(members) >= 0) {
-      Berth b = best(members, fresh, null);
+      CoreMember b = best(members, fresh, null);
       if (b != null
           && members.size() < losses.mostMembers()
           && losses.margin(changed(members, b, null)) >= 0) {
@@ -136,14 +141,14 @@
       }
       return;
     }
-    List<Berth> all = new ArrayList<>(members);
+    List<CoreMember> all = new ArrayList<>(members);
     // The primary first: it is the last to be put out.
     all.remove(r.primary());
     all.add(0, r.primary());
     all.addAll(fresh);
-    List<Berth> wanted = losses.members(all);
-    Berth in = fresh.stream().filter(wanted::contains).findFirst().orElse(null);
-    Berth out =
+    List<CoreMember> wanted = losses.members(all);
+    CoreMember in = fresh.stream().filter(wanted::contains).findFirst().orElse(null);
+    CoreMember out =
         losses.margin(wanted) <= losses.margin(members)
             ? null
             : members.stream()
@@ -155,8 +160,8 @@
     }
   }
 
-  private static List<Berth> changed(List<Berth> members, Berth in, Berth out) {
-    List<Berth> next = new ArrayList<>(members);
+  private static List<CoreMember> changed(List<CoreMember> members, CoreMember in, CoreMember out) {
+    List<CoreMember> next = new ArrayList<>(members);
     next.remove(out);
     if (in != null) {
       next.add(in);
@@ -164,13 +169,13 @@
     return List.copyOf(next);
   }
 
-  private void change(EpochRecord r, Berth in, Berth out) {
-    changedAt = deck.now();
+  private void change(EpochRecord r, CoreMember in, CoreMember out) {
+    changedAt = runtime.now();
     if (in != null) {
       tried.merge(
           in.diskId(), new Tried(changedAt, 1), (a, b) -> new Tried(changedAt, a.times() + 1));
     }
-    deck.event(
+    runtime.event(
         "event=core_change in="
             + (in == null ? "none" : in.name())
             + " out="
--- a/src/main/java/org/otterpond/harbour/Shore.java
+++ b/src/main/java/org/otterpond/control/primary/DataPlane.java
@@ -1,23 +1,24 @@
-package org.otterpond.harbour;
+package org.otterpond.control.primary;
 
 import java.util.List;
 import java.util.Map;
 import java.util.function.Consumer;
-import org.otterpond.chart.Configuration;
-import org.otterpond.keys.KeeperHost;
-import org.otterpond.signal.Flag;
+import org.otterpond.config.GatewayConfiguration;
+import org.otterpond.control.state.WorkerInstance;
+import org.otterpond.keyrange.KeyRangeRuntime;
+import org.otterpond.protocol.WireRecord;
 
 /** The data plane, as the control side sees it: it is handed news. */
-public interface Shore {
-  void configured(Configuration configuration);
+public interface DataPlane {
+  void configured(GatewayConfiguration configuration);
 
-  void worker(Vessel vessel);
+  void worker(WorkerInstance worker);
 
   /** How many nodes hold a lease in each zone, and this node's place among those of its own. */
   void fleet(Map<String, Integer> nodesInZone, int rank);
 
   /** An assignment that the core has written, newer than the one told before under its key. */
-  default void assigned(Flag entry) {
+  default void assigned(WireRecord entry) {
     // A node that neither routes by them nor holds any has no use for them.
   }
 
@@ -25,7 +26,7 @@
    * A message that is none of the control side's; whoever sent it waits for the reply if it takes
    * one.
    */
-  default void message(String from, Flag message, Consumer<Flag> reply) {
+  default void message(String from, WireRecord message, Consumer<WireRecord> reply) {
     // Nothing here takes any.
   }
 
@@ -33,12 +34,12 @@
    * How often keys of divided services were asked for here since the last time; goes with the next
    * poll.
    */
-  default List<Flag> heat() {
+  default List<WireRecord> heat() {
     return List.of();
   }
 
   /** What a machine that stores messages tells of itself with its polls; null if this is none. */
-  default Flag figures() {
+  default WireRecord figures() {
     return null;
   }
 
@@ -49,8 +50,8 @@
       String path,
       String body,
       long timeout,
-      Consumer<KeeperHost.Answer> answer) {
-    answer.accept(new KeeperHost.Answer(0, null, false));
+      Consumer<KeyRangeRuntime.Answer> answer) {
+    answer.accept(new KeyRangeRuntime.Answer(0, null, false));
   }
 
   /** The connection to a node is gone. */
@@ -62,5 +63,5 @@
    * How the run of that claim went, as this node knows: "answer" with the answer kept, "working",
    * "unknown" if it may have run without a known outcome; null if nothing is known of it.
    */
-  Flag outcome(String key, String token);
+  WireRecord outcome(String key, String token);
 }
--- a/src/main/java/org/otterpond/harbour/FleetPlan.java
+++ b/src/main/java/org/otterpond/control/primary/FleetDigest.java
@@ -1,11 +1,11 @@
-package org.otterpond.harbour;
+package org.otterpond.control.primary;
 
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
 import java.util.TreeSet;
-import org.otterpond.signal.Flag;
+import org.otterpond.protocol.WireRecord;
 
 /**
  * The nodes that hold a lease, as each of them needs to know them: how many there are in each zone,
@@ -13,13 +13,13 @@
  * of its zone, and one of the next zone), and the nodes with a disk, to which workers may be sent
  * with their beats. Its size does not grow with the number of nodes.
  */
-record FleetPlan(long version, TreeMap<String, List<String>> zones, Map<String, String> beacons) {
+record FleetDigest(long version, TreeMap<String, List<String>> zones, Map<String, String> beacons) {
   private static final int CONTACTS = 4;
 
   /**
    * @param polls the newest poll of each node, by its address
    */
-  static FleetPlan of(long version, Map<String, Flag> polls) {
+  static FleetDigest of(long version, Map<String, WireRecord> polls) {
     Map<String, TreeSet<String>> sorted = new TreeMap<>();
     Map<String, String> beacons = new TreeMap<>();
     polls.forEach(
@@ -31,10 +31,10 @@
         });
     TreeMap<String, List<String>> zones = new TreeMap<>();
     sorted.forEach((z, a) -> zones.put(z, List.copyOf(a)));
-    return new FleetPlan(version, zones, beacons);
+    return new FleetDigest(version, zones, beacons);
   }
 
-  Flag toFlag(String zone, String address) {
+  WireRecord toWireRecord(String zone, String address) {
     List<Object> counts = new ArrayList<>();
     zones.forEach(
         (z, nodes) -> {
@@ -58,7 +58,7 @@
           lights.add(z);
           lights.add(a);
         });
-    return new Flag("fleet")
+    return new WireRecord("fleet")
         .with("zones", counts)
         .with("rank", rank)
         .with("contacts", contacts)
--- a/src/main/java/org/otterpond/harbour/Helm.java
+++ b/src/main/java/org/otterpond/control/primary/PrimaryServices.java
@@ -1,4 +1,4 @@
-package org.otterpond.harbour;
+package org.otterpond.control.primary;
 
 import com.google.common.hash.Hashing;
 import java.nio.charset.StandardCharsets;
@@ -10,18 +10,29 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.function.Consumer;
-import org.otterpond.chart.Configuration;
-import org.otterpond.keys.KeyKeeper;
-import org.otterpond.keys.KeyRange;
-import org.otterpond.signal.Bale;
-import org.otterpond.signal.Flag;
-import org.otterpond.signal.SignalException;
+import org.otterpond.config.GatewayConfiguration;
+import org.otterpond.control.epoch.EpochReplica;
+import org.otterpond.control.state.Assignments;
+import org.otterpond.control.state.CompressedText;
+import org.otterpond.control.state.ConfigurationUpdateParser;
+import org.otterpond.control.state.CoreMember;
+import org.otterpond.control.state.EpochRecord;
+import org.otterpond.control.state.IdempotencyKeyLock;
+import org.otterpond.control.state.ParsedConfiguration;
+import org.otterpond.control.state.WorkerInstance;
+import org.otterpond.control.state.WorkerState;
+import org.otterpond.keyrange.KeyRange;
+import org.otterpond.keyrange.KeyRangeManager;
+import org.otterpond.protocol.CompressedPayload;
+import org.otterpond.protocol.ProtocolException;
+import org.otterpond.protocol.WireRecord;
+import org.otterpond.runtime.NodeRuntime;
 
 /**
  * What the primary does for the nodes: leases and long polls, the worker table, configuration,
  * operation keys.
  */
-final class Helm {
+public final class PrimaryServices {
   private static final long LEASE = 2_500_000;
   private static final long POLL_HOLD = 700_000;
   private static final long EARLY_KEPT = 1_500_000;
@@ -41,14 +52,14 @@
   private static final long EMPTY_AT_FIRST = 1_000_000;
   private static final long MEMBER_DEAD = 1_500_000;
 
-  private final Deck deck;
-  private final Watch watch;
-  private final Berth self;
-  private final Register register;
-  private final Chandlery chandlery;
+  private final NodeRuntime runtime;
+  private final EpochReplica watch;
+  private final CoreMember self;
+  private final WorkerRegistry register;
+  private final QuotaOwner quotaOwner;
   private final Map<String, Lease> leases = new HashMap<>();
   private final Map<String, Early> early = new HashMap<>();
-  private final Map<String, List<Consumer<Flag>>> claimsInWriting = new HashMap<>();
+  private final Map<String, List<Consumer<WireRecord>>> claimsInWriting = new HashMap<>();
   private final List<DrainWait> drains = new ArrayList<>();
 
   /** The assignments as committed, which is what may be told; the hold's own are a moment ahead. */
@@ -56,20 +67,20 @@
 
   private byte[] packedAssignments;
   private long packedAssignmentNumber = -1;
-  private final Placement placement;
-  private final Membership membership;
-  private final KeyKeeper keeper;
+  private final ReplicaPlacement placement;
+  private final CoreMembership membership;
+  private final KeyRangeManager keeper;
 
   private PendingWrite writing;
 
   /** The newest version, if it has been read here. */
-  private ReadConfiguration newest;
+  private ParsedConfiguration newest;
 
-  private final ChangeLog changes = new ChangeLog();
+  private final ConfigurationChangeLog changes = new ConfigurationChangeLog();
   private boolean newsDue;
   private long nodesVersion;
-  private FleetPlan plan;
-  private FleetPlan storePlan;
+  private FleetDigest plan;
+  private FleetDigest storePlan;
   private long beganAt;
 
   /**
@@ -77,13 +88,13 @@
    */
   private long term;
 
-  private long chandleryTicked;
+  private long quotaOwnerTicked;
   private byte[] packedTable;
   private long packedVersion;
   private long packedAt;
 
   private static final class Lease {
-    Flag poll;
+    WireRecord poll;
     boolean waiting;
     long at;
     long heldSince;
@@ -93,52 +104,63 @@
     boolean doubtful;
   }
 
-  private record Early(Flag poll, long at) {}
+  private record Early(WireRecord poll, long at) {}
 
   private static final class DrainWait {
     long version;
     long deadline;
     boolean durable;
-    Consumer<Flag> reply;
+    Consumer<WireRecord> reply;
   }
 
   private static final class PendingWrite {
     String digest;
-    final List<Consumer<Flag>> replies = new ArrayList<>();
+    final List<Consumer<WireRecord>> replies = new ArrayList<>();
   }
 
-  Helm(Deck deck, Watch watch, Berth self, Shore shore, HarbourTerms terms) {
-    this.deck = deck;
+  public PrimaryServices(
+      NodeRuntime runtime,
+      EpochReplica watch,
+      CoreMember self,
+      DataPlane dataPlane,
+      ControlPlaneSettings terms) {
+    this.runtime = runtime;
     this.watch = watch;
     this.self = self;
-    this.register = new Register(terms.heartbeatMicros());
-    this.chandlery = new Chandlery(terms.quota());
+    this.register = new WorkerRegistry(terms.heartbeatMicros());
+    this.quotaOwner = new QuotaOwner(terms.quota());
     this.placement =
-        new Placement(deck, terms.losses().machines(), terms.losses().zones(), this::assign);
-    this.membership = new Membership(deck, watch, terms.losses());
+        new ReplicaPlacement(
+            runtime, terms.losses().machines(), terms.losses().zones(), this::assign);
+    this.membership = new CoreMembership(runtime, watch, terms.losses());
     this.keeper =
-        new KeyKeeper(new KeeperDeck(deck, shore, watch, register, this::assign), terms.hold());
+        new KeyRangeManager(
+            new PrimaryKeyRangeRuntime(runtime, dataPlane, watch, register, this::assign),
+            terms.hold());
   }
 
   /**
    * @param held what is in force on this node
    */
-  void began(boolean continued, ReadConfiguration held) {
-    beganAt = deck.now();
+  public void began(boolean continued, ParsedConfiguration held) {
+    beganAt = runtime.now();
     if (!continued) {
       term = watch.record().epoch();
-      chandlery.reset();
+      quotaOwner.reset();
     }
     committed = watch.hold().assignments().copy();
     packedAssignmentNumber = -1;
     placement.began();
     stock(held);
-    register.reset(deck.now());
-    watch.hold().workers().forEach(w -> register.take(Vessel.of(w, deck.now()), deck.now()));
+    register.reset(runtime.now());
+    watch
+        .hold()
+        .workers()
+        .forEach(w -> register.take(WorkerInstance.of(w, runtime.now()), runtime.now()));
     keeper.began(committed.under(KeyRange.PREFIX), continued);
     // Their polls were of the epoch before, and are answered no more.
-    Flag begun = new Flag("harbour").with("record", watch.record().toFlag());
-    leases.keySet().forEach(a -> deck.send(a, begun));
+    WireRecord begun = new WireRecord("harbour").with("record", watch.record().toWireRecord());
+    leases.keySet().forEach(a -> runtime.send(a, begun));
     leases.clear();
     drains.clear();
     changes.clear();
@@ -146,11 +168,11 @@
     nodesVersion++;
     Map<String, Early> polls = new HashMap<>(early);
     early.clear();
-    long now = deck.now();
+    long now = runtime.now();
     // An older one may be of a process, or of a disk, that is no more.
     polls.values().removeIf(p -> now - p.at() > EARLY_KEPT);
     // A moment later the backups have said that they follow, which the answers must tell.
-    deck.after(
+    runtime.after(
         FOLLOWED,
         () ->
             polls.forEach(
@@ -161,14 +183,14 @@
                 }));
   }
 
-  void steppedDown() {
+  public void steppedDown() {
     claimsInWriting.clear();
     drains.clear();
     writing = null;
     EpochRecord known = watch.known();
     for (Map.Entry<String, Lease> e : leases.entrySet()) {
       if (e.getValue().waiting) {
-        deck.send(e.getKey(), new Flag("harbour").with("record", known.toFlag()));
+        runtime.send(e.getKey(), new WireRecord("harbour").with("record", known.toWireRecord()));
       }
     }
     leases.clear();
@@ -176,17 +198,17 @@
 
   // ----------------------------------------------------------------- polls
 
-  void onPoll(String from, Flag poll) {
+  public void onPoll(String from, WireRecord poll) {
     if (!watch.leading()) {
       if (watch.known() != null && !watch.known().primary().diskId().equals(self.diskId())) {
-        deck.send(from, new Flag("harbour").with("record", watch.known().toFlag()));
+        runtime.send(from, new WireRecord("harbour").with("record", watch.known().toWireRecord()));
       } else {
         // This node is about to lead, as far as anybody knows: the poll is answered once it does.
-        early.put(from, new Early(poll, deck.now()));
+        early.put(from, new Early(poll, runtime.now()));
       }
       return;
     }
-    long now = deck.now();
+    long now = runtime.now();
     Lease l = leases.get(from);
     if (l == null || (l.poll.number("life") != poll.number("life"))) {
       l = new Lease();
@@ -198,9 +220,9 @@
     l.at = now;
     l.heldSince = now;
     l.waiting = true;
-    poll.flags("heat").forEach(keeper::reported);
+    poll.records("heat").forEach(keeper::reported);
     if (poll.has("tell")) {
-      poll.flags("tell").forEach(f -> take(Vessel.of(f, now)));
+      poll.records("tell").forEach(f -> take(WorkerInstance.of(f, now)));
     }
     if (poll.number("epoch") == watch.record().epoch()) {
       l.tableVersion = poll.number("table");
@@ -215,7 +237,7 @@
   private void newsDue() {
     if (!newsDue) {
       newsDue = true;
-      deck.after(
+      runtime.after(
           5_000,
           () -> {
             newsDue = false;
@@ -242,8 +264,8 @@
     }
     long back = Math.max(0, l.heldSince - watch.followedSince());
     l.doubtful = back > DOUBTFUL;
-    Flag news =
-        new Flag("news")
+    WireRecord news =
+        new WireRecord("news")
             .with("epoch", epoch)
             .with("ver", register.version())
             .with("pn", l.poll.number("pn"))
@@ -255,15 +277,15 @@
         plan = plan(false);
         storePlan = plan(true);
       }
-      FleetPlan own = l.poll.has("store") ? storePlan : plan;
-      news.with("record", watch.record().toFlag())
-          .with("fleet", own.toFlag(l.poll.text("zone"), to));
+      FleetDigest own = l.poll.has("store") ? storePlan : plan;
+      news.with("record", watch.record().toWireRecord())
+          .with("fleet", own.toWireRecord(l.poll.text("zone"), to));
       l.nodesVersion = nodesVersion;
     }
     if (config) {
       byte[] whole = watch.packedText();
       // Nodes of earlier versions do not say that they can use them.
-      List<Flag> since =
+      List<WireRecord> since =
           l.poll.truth("changes")
               ? changes.between(l.poll.number("cfg"), watch.committedRevision(), whole.length)
               : List.of();
@@ -271,7 +293,7 @@
       if (since.isEmpty()) {
         news.with("text", whole);
       } else {
-        news.withFlags("changes", since);
+        news.withRecords("changes", since);
       }
     }
     if (table) {
@@ -279,9 +301,9 @@
         news.with("whole", packedTable());
         news.with("want", l.poll.number("sum") != 0 ? true : null);
       } else {
-        List<Flag> vessels = new ArrayList<>();
-        register.newerThan(l.tableVersion).forEach(v -> vessels.add(v.toFlag(deck.now())));
-        news.withFlags("table", vessels);
+        List<WireRecord> workers = new ArrayList<>();
+        register.newerThan(l.tableVersion).forEach(v -> workers.add(v.toWireRecord(runtime.now())));
+        news.withRecords("table", workers);
       }
     }
     if (assigned) {
@@ -289,23 +311,23 @@
       if (l.poll.number("as") == 0) {
         news.with("aswhole", packedAssignments());
       } else {
-        news.withFlags("as", committed.newerThan(l.poll.number("as")));
+        news.withRecords("as", committed.newerThan(l.poll.number("as")));
       }
     }
     l.waiting = false;
-    deck.send(to, news);
+    runtime.send(to, news);
   }
 
   private byte[] packedAssignments() {
     if (packedAssignmentNumber != committed.number()) {
-      packedAssignments = Bale.pack(committed.snapshot());
+      packedAssignments = CompressedPayload.pack(committed.snapshot());
       packedAssignmentNumber = committed.number();
     }
     return packedAssignments;
   }
 
   /** Writes one assignment; it is told once it is committed. False if this node does not lead. */
-  private boolean assign(Flag entry, Runnable done) {
+  private boolean assign(WireRecord entry, Runnable done) {
     return watch.propose(
         entry,
         () -> {
@@ -316,28 +338,28 @@
   }
 
   /** The machines that store messages and hold a lease. */
-  private List<Placement.Store> stores() {
-    List<Placement.Store> out = new ArrayList<>();
+  private List<ReplicaPlacement.Store> stores() {
+    List<ReplicaPlacement.Store> out = new ArrayList<>();
     leases.forEach(
         (a, l) -> {
           if (l.poll.has("store")) {
             out.add(
-                new Placement.Store(
+                new ReplicaPlacement.Store(
                     l.poll.text("store"), a, l.poll.text("name"), l.poll.text("zone"), l.at));
           }
         });
     return out;
   }
 
-  private FleetPlan plan(boolean stores) {
-    Map<String, Flag> polls = new HashMap<>();
+  private FleetDigest plan(boolean stores) {
+    Map<String, WireRecord> polls = new HashMap<>();
     leases.forEach(
         (a, l) -> {
           if (l.poll.has("store") == stores) {
             polls.put(a, l.poll);
           }
         });
-    return FleetPlan.of(nodesVersion, polls);
+    return FleetDigest.of(nodesVersion, polls);
   }
 
   /**
@@ -345,11 +367,11 @@
    * the most.
    */
   private byte[] packedTable() {
-    long now = deck.now();
+    long now = runtime.now();
     if (packedVersion != register.version() || now - packedAt > 1_000_000) {
-      List<Flag> vessels = new ArrayList<>();
-      register.newerThan(0).forEach(v -> vessels.add(v.toFlag(now)));
-      packedTable = Bale.pack(new Flag("table").withFlags("table", vessels));
+      List<WireRecord> workers = new ArrayList<>();
+      register.newerThan(0).forEach(v -> workers.add(v.toWireRecord(now)));
+      packedTable = CompressedPayload.pack(new WireRecord("table").withRecords("table", workers));
       packedVersion = register.version();
       packedAt = now;
     }
@@ -358,11 +380,11 @@
 
   // ------------------------------------------------------------------ time
 
-  void tick() {
+  public void tick() {
     if (!watch.leading()) {
       return;
     }
-    long now = deck.now();
+    long now = runtime.now();
     Iterator<Map.Entry<String, Lease>> it = leases.entrySet().iterator();
     while (it.hasNext()) {
       Map.Entry<String, Lease> e = it.next();
@@ -372,15 +394,15 @@
         answer(e.getKey(), l, true);
       }
       if (now - l.at > LEASE) {
-        deck.event("event=lease_lapsed node=" + l.poll.text("name"));
+        runtime.event("event=lease_lapsed node=" + l.poll.text("name"));
         it.remove();
         nodesVersion++;
       }
     }
-    List<Vessel> lost = register.expire(now);
+    List<WorkerInstance> lost = register.expire(now);
     lost.forEach(
         v -> {
-          deck.event("event=worker_lost instance=" + v.id() + " service=" + v.service());
+          runtime.event("event=worker_lost instance=" + v.id() + " service=" + v.service());
           keep(v, () -> {});
         });
     if (!lost.isEmpty()) {
@@ -390,21 +412,21 @@
     membership.tick(newcomers(now));
     keeper.tick();
     placement.tick(now, stores(), watch.hold().assignments());
-    if (now - chandleryTicked > 1_000_000) {
-      chandleryTicked = now;
-      chandlery.tick(now);
+    if (now - quotaOwnerTicked > 1_000_000) {
+      quotaOwnerTicked = now;
+      quotaOwner.tick(now);
     }
   }
 
   /** The machines with a disk that hold a lease and are no members of the core. */
-  private List<Membership.Newcomer> newcomers(long now) {
-    List<Membership.Newcomer> out = new ArrayList<>();
+  private List<CoreMembership.Newcomer> newcomers(long now) {
+    List<CoreMembership.Newcomer> out = new ArrayList<>();
     for (Lease l : leases.values()) {
       String id = l.poll.text("disk");
       if (id != null && !watch.record().hasMember(id) && now - l.at <= LEASE / 2) {
         out.add(
-            new Membership.Newcomer(
-                new Berth(id, l.poll.text("addr"), l.poll.text("name"), l.poll.text("zone")),
+            new CoreMembership.Newcomer(
+                new CoreMember(id, l.poll.text("addr"), l.poll.text("name"), l.poll.text("zone")),
                 l.firstSeen));
       }
     }
@@ -414,11 +436,14 @@
   // ------------------------------------------------------------------- ops
 
   /** Serves one asked operation; the reply may come later, or never if the duty is lost. */
-  void serve(Flag ask, Consumer<Flag> reply) {
+  public void serve(WireRecord ask, Consumer<WireRecord> reply) {
     if (!watch.leading()) {
       // Mid-change the asker asks again by itself; elsewhere it learns whom to ask.
       if (watch.known() != null && !watch.known().primary().diskId().equals(self.diskId())) {
-        reply.accept(new Flag("reply").with("moved", true).with("record", watch.known().toFlag()));
+        reply.accept(
+            new WireRecord("reply")
+                .with("moved", true)
+                .with("record", watch.known().toWireRecord()));
       }
       return;
     }
@@ -426,18 +451,18 @@
       case "claim" -> claim(ask, reply);
       case "free" -> free(ask, reply);
       case "lend" -> {
-        List<Flag> lent = new ArrayList<>();
-        ask.flags("tenants").forEach(t -> lent.add(lend(ask, t)));
-        reply.accept(new Flag("reply").with("term", term).withFlags("lent", lent));
+        List<WireRecord> lent = new ArrayList<>();
+        ask.records("tenants").forEach(t -> lent.add(lend(ask, t)));
+        reply.accept(new WireRecord("reply").with("term", term).withRecords("lent", lent));
       }
       case "beat" -> beat(ask, reply);
       case "beats" -> {
-        ask.flags("beats").forEach(f -> take(Vessel.of(f, deck.now())));
+        ask.records("beats").forEach(f -> take(WorkerInstance.of(f, runtime.now())));
         // Told again to whoever leads, unless it was this node.
         watch.confirmLater(
             ok -> {
               if (ok) {
-                reply.accept(new Flag("reply"));
+                reply.accept(new WireRecord("reply"));
               }
             });
       }
@@ -453,20 +478,20 @@
               committed,
               reply,
               proved(reply));
-      case "retired" -> proved(reply).accept(Placement.retired(ask.text("node"), committed));
+      case "retired" -> proved(reply).accept(ReplicaPlacement.retired(ask.text("node"), committed));
       case "write" -> write(ask, reply);
       case "read" ->
           watch.confirm(
               ok -> {
                 if (ok) {
                   reply.accept(
-                      new Flag("reply")
+                      new WireRecord("reply")
                           .with("rev", watch.committedRevision())
                           .with("text", watch.packedText()));
                 }
               });
       case "status" -> watch.confirm(ok -> reply.accept(status(ok)));
-      default -> reply.accept(new Flag("reply").with("error", "unknown operation"));
+      default -> reply.accept(new WireRecord("reply").with("error", "unknown operation"));
     }
   }
 
@@ -475,7 +500,7 @@
    * proved that this node led after the question came, and never if it did not. Who woke up with
    * old state says nothing by it.
    */
-  private Consumer<Flag> proved(Consumer<Flag> reply) {
+  private Consumer<WireRecord> proved(Consumer<WireRecord> reply) {
     return r ->
         watch.confirm(
             ok -> {
@@ -488,21 +513,21 @@
   /**
    * Lets a claim go that did not run; answered once that is durable, or there is nothing to let go.
    */
-  private void free(Flag ask, Consumer<Flag> reply) {
-    Claim c = watch.hold().claim(ask.text("key"));
+  private void free(WireRecord ask, Consumer<WireRecord> reply) {
+    IdempotencyKeyLock c = watch.hold().claim(ask.text("key"));
     if (c != null && c.token().equals(ask.text("token"))) {
       watch.propose(
-          new Flag("free").with("key", ask.text("key")).with("token", ask.text("token")),
-          () -> reply.accept(new Flag("reply")));
+          new WireRecord("free").with("key", ask.text("key")).with("token", ask.text("token")),
+          () -> reply.accept(new WireRecord("reply")));
     } else {
-      proved(reply).accept(new Flag("reply"));
+      proved(reply).accept(new WireRecord("reply"));
     }
   }
 
-  private void inForce(ReadConfiguration read) {
+  private void inForce(ParsedConfiguration read) {
     newest = read;
-    Configuration c = read.checked();
-    chandlery.configured(c, deck.now());
+    GatewayConfiguration c = read.checked();
+    quotaOwner.configured(c, runtime.now());
     Set<String> divided = new HashSet<>();
     c.services()
         .values()
@@ -516,7 +541,7 @@
   }
 
   /** The version, if it is the newest one and this node has read it. */
-  ReadConfiguration read(long revision) {
+  public ParsedConfiguration read(long revision) {
     return newest != null && newest.revision() == revision && watch.leading() ? newest : null;
   }
 
@@ -524,7 +549,7 @@
    * Finds the limits in force for the quotas, as a new primary. What this node has read before is
    * not read again.
    */
-  private void stock(ReadConfiguration held) {
+  private void stock(ParsedConfiguration held) {
     long revision = watch.committedRevision();
     if (newest != null && newest.revision() == revision) {
       inForce(newest);
@@ -533,14 +558,14 @@
         inForce(held);
       }
     } else if (watch.committedText() != null) {
-      ConfigurationReading r =
-          new ConfigurationReading(
-              new Flag("news").with("cfg", revision).with("text", watch.packedText()),
-              ReadConfiguration.NONE);
+      ConfigurationUpdateParser r =
+          new ConfigurationUpdateParser(
+              new WireRecord("news").with("cfg", revision).with("text", watch.packedText()),
+              ParsedConfiguration.NONE);
       Runnable then =
           () -> {
             if (r.result() == null) {
-              deck.event(
+              runtime.event(
                   "event=configuration_unreadable revision=" + revision + " cause=" + r.cause());
             } else if (watch.leading() && watch.committedRevision() == revision) {
               inForce(r.result());
@@ -552,7 +577,7 @@
 
   private void readApart(boolean isLong, Runnable reading, Runnable then) {
     if (isLong) {
-      deck.apart(reading, then);
+      runtime.apart(reading, then);
     } else {
       reading.run();
       then.run();
@@ -560,15 +585,15 @@
   }
 
   /** One tenant's part of an ask for tokens. */
-  private Flag lend(Flag ask, Flag tenant) {
-    Flag out = new Flag("lent").with("tenant", tenant.text("tenant"));
-    long now = deck.now();
+  private WireRecord lend(WireRecord ask, WireRecord tenant) {
+    WireRecord out = new WireRecord("lent").with("tenant", tenant.text("tenant"));
+    long now = runtime.now();
     if (!watch.mayGive()) {
       return out.with("count", 0).with("again", Math.max(50_000, watch.givingFrom() - now));
     }
     boolean known = ask.number("term") == term;
-    Chandlery.Lent l =
-        chandlery.lend(
+    QuotaOwner.Lent l =
+        quotaOwner.lend(
             tenant.text("tenant"),
             ask.number("life"),
             known ? tenant.number("used") : 0,
@@ -584,11 +609,11 @@
         .with("over", l.over() && settled ? true : null);
   }
 
-  private void claim(Flag ask, Consumer<Flag> reply) {
+  private void claim(WireRecord ask, Consumer<WireRecord> reply) {
     String key = ask.text("key");
     String token = ask.text("token");
-    Claim c = watch.hold().claim(key);
-    List<Consumer<Flag>> pending = claimsInWriting.get(token);
+    IdempotencyKeyLock c = watch.hold().claim(key);
+    List<Consumer<WireRecord>> pending = claimsInWriting.get(token);
     if (pending != null) {
       pending.add(reply);
       return;
@@ -597,36 +622,36 @@
       proved(reply)
           .accept(
               c.token().equals(token)
-                  ? new Flag("reply").with("granted", true)
-                  : new Flag("reply").with("holder", c.holder()).with("run", c.token()));
+                  ? new WireRecord("reply").with("granted", true)
+                  : new WireRecord("reply").with("holder", c.holder()).with("run", c.token()));
       return;
     }
-    Flag lent = ask.has("tenant") ? lend(ask, ask.flag("tenant")) : null;
+    WireRecord lent = ask.has("tenant") ? lend(ask, ask.nested("tenant")) : null;
     if (lent != null && lent.number("count") == 0) {
-      reply.accept(new Flag("reply").with("term", term).with("lent", lent));
+      reply.accept(new WireRecord("reply").with("term", term).with("lent", lent));
       return;
     }
     claimsInWriting.put(token, new ArrayList<>(List.of(reply)));
     boolean taken =
         watch.propose(
-            new Flag("claim")
+            new WireRecord("claim")
                 .with("key", key)
                 .with("token", token)
                 .with("holder", ask.text("holder")),
             () -> {
-              List<Consumer<Flag>> replies = claimsInWriting.remove(token);
-              Claim now = watch.hold().claim(key);
+              List<Consumer<WireRecord>> replies = claimsInWriting.remove(token);
+              IdempotencyKeyLock now = watch.hold().claim(key);
               // While an epoch was changing, two claims of one key may both have waited: the last
               // written
               // holds it.
               boolean mine = now != null && now.token().equals(token);
-              Flag r =
+              WireRecord r =
                   mine
-                      ? new Flag("reply")
+                      ? new WireRecord("reply")
                           .with("granted", true)
                           .with("term", term)
                           .with("lent", lent)
-                      : new Flag("reply")
+                      : new WireRecord("reply")
                           .with("holder", now == null ? null : now.holder())
                           .with("run", now == null ? null : now.token());
               if (replies != null) {
@@ -638,15 +663,15 @@
     }
   }
 
-  private void beat(Flag ask, Consumer<Flag> reply) {
-    Vessel v = Vessel.of(ask.flag("vessel"), deck.now());
+  private void beat(WireRecord ask, Consumer<WireRecord> reply) {
+    WorkerInstance v = WorkerInstance.of(ask.nested("vessel"), runtime.now());
     take(v);
-    if (v.state() == VesselState.IN_SERVICE) {
-      proved(reply).accept(new Flag("reply"));
+    if (v.state() == WorkerState.IN_SERVICE) {
+      proved(reply).accept(new WireRecord("reply"));
       return;
     }
     DrainWait d = new DrainWait();
-    d.deadline = deck.now() + DRAIN_WAIT;
+    d.deadline = runtime.now() + DRAIN_WAIT;
     d.reply = reply;
     d.version = register.version();
     drains.add(d);
@@ -663,15 +688,15 @@
    * Takes what is told of a worker; a change is delivered, and written so that it outlives every
    * process.
    */
-  private void take(Vessel v) {
-    if (register.take(v, deck.now())) {
+  private void take(WorkerInstance v) {
+    if (register.take(v, runtime.now())) {
       newsDue();
       keep(register.get(v.id()), () -> {});
     }
   }
 
-  private void keep(Vessel v, Runnable written) {
-    watch.propose(v.toFlag("worker", deck.now()), written);
+  private void keep(WorkerInstance v, Runnable written) {
+    watch.propose(v.toWireRecord("worker", runtime.now()), written);
   }
 
   /** Acknowledges leavers once every node that holds a lease has them as such. */
@@ -687,26 +712,26 @@
     List<DrainWait> ready = new ArrayList<>();
     while (it.hasNext()) {
       DrainWait d = it.next();
-      boolean everywhere = d.version <= confirmed && deck.now() - beganAt > ALL_POLLED;
-      if (d.durable && (everywhere || deck.now() > d.deadline)) {
+      boolean everywhere = d.version <= confirmed && runtime.now() - beganAt > ALL_POLLED;
+      if (d.durable && (everywhere || runtime.now() > d.deadline)) {
         it.remove();
         ready.add(d);
       }
     }
-    ready.forEach(d -> d.reply.accept(new Flag("reply")));
+    ready.forEach(d -> d.reply.accept(new WireRecord("reply")));
   }
 
   // --------------------------------------------------------- configuration
 
-  private static Flag verdict(int status, String cause) {
-    return new Flag("reply").with("status", status).with("cause", cause);
+  private static WireRecord verdict(int status, String cause) {
+    return new WireRecord("reply").with("status", status).with("cause", cause);
   }
 
-  private void write(Flag ask, Consumer<Flag> reply) {
+  private void write(WireRecord ask, Consumer<WireRecord> reply) {
     String text;
     try {
-      text = Bale.unpackText(ask.bytes("text"));
-    } catch (SignalException e) {
+      text = CompressedPayload.unpackText(ask.bytes("text"));
+    } catch (ProtocolException e) {
       reply.accept(verdict(400, "body: unreadable on its way"));
       return;
     }
@@ -727,8 +752,8 @@
     w.digest = digest;
     w.replies.add(reply);
     writing = w;
-    OrderReading r =
-        new OrderReading(
+    ConfigurationWriteParser r =
+        new ConfigurationWriteParser(
             kind,
             text,
             newest != null && newest.revision() == watch.committedRevision() ? newest : null,
@@ -744,9 +769,9 @@
   }
 
   /** Takes the order that was read, or says why not. */
-  private void judge(PendingWrite w, OrderReading r, long base, String change) {
+  private void judge(PendingWrite w, ConfigurationWriteParser r, long base, String change) {
     long current = watch.committedRevision();
-    Flag verdict = null;
+    WireRecord verdict = null;
     if (r.unreadable() != null) {
       verdict = verdict(400, r.unreadable());
     } else if (watch.hold().taken().holds(r.revision(), w.digest)) {
@@ -761,23 +786,23 @@
     }
     if (verdict != null) {
       writing = null;
-      Flag given = verdict;
+      WireRecord given = verdict;
       w.replies.forEach(reply -> proved(reply).accept(given));
       return;
     }
     boolean taken =
         watch.propose(
-            PackedText.put(r.packed(), new Flag("config").with("rev", r.revision()))
+            CompressedText.put(r.packed(), new WireRecord("config").with("rev", r.revision()))
                 .with("digest", w.digest),
             () -> {
               writing = null;
               if (change != null) {
-                changes.add(base, r.revision(), Bale.pack(change));
+                changes.add(base, r.revision(), CompressedPayload.pack(change));
               } else {
                 changes.clear();
               }
               inForce(r.result());
-              deck.event("event=configuration_taken revision=" + r.revision() + " base=" + base);
+              runtime.event("event=configuration_taken revision=" + r.revision() + " base=" + base);
               w.replies.forEach(reply -> reply.accept(verdict(200, null)));
               newsDue();
             });
@@ -786,21 +811,21 @@
     }
   }
 
-  private Flag status(boolean confirmed) {
+  private WireRecord status(boolean confirmed) {
     EpochRecord r = watch.record();
-    List<Flag> nodes = new ArrayList<>();
-    long now = deck.now();
-    List<Flag> storing = new ArrayList<>();
+    List<WireRecord> nodes = new ArrayList<>();
+    long now = runtime.now();
+    List<WireRecord> storing = new ArrayList<>();
     leases.forEach(
         (a, l) -> {
-          Flag row =
-              new Flag("node")
+          WireRecord row =
+              new WireRecord("node")
                   .with("name", l.poll.text("name"))
                   .with("addr", a)
                   .with("zone", l.poll.text("zone"))
                   .with("cfg", l.poll.number("cfg"))
                   .with("silent_ms", Math.max(0, now - l.at) / 1000);
-          Flag figures = l.poll.flag("figures");
+          WireRecord figures = l.poll.nested("figures");
           if (figures != null) {
             figures.fields().forEach(row::with);
           }
@@ -810,19 +835,19 @@
     r.members().stream()
         .filter(m -> !m.diskId().equals(self.diskId()) && watch.silent(m, MEMBER_DEAD))
         .forEach(m -> silent.add(m.name()));
-    List<Flag> vessels = new ArrayList<>();
-    register.newerThan(0).forEach(v -> vessels.add(v.toFlag(now)));
-    return new Flag("reply")
+    List<WireRecord> workers = new ArrayList<>();
+    register.newerThan(0).forEach(v -> workers.add(v.toWireRecord(now)));
+    return new WireRecord("reply")
         .with("confirmed", confirmed)
-        .with("record", r.toFlag())
+        .with("record", r.toWireRecord())
         .with("silent", silent)
         .with("rev", watch.committedRevision())
         .with("claims", watch.hold().claimCount())
-        .withFlags("nodes", nodes)
-        .withFlags("stores", storing)
-        .withFlags("workers", vessels)
-        .withFlags("quotas", chandlery.status(now))
-        .withFlags("keys", keeper.status())
-        .with("partitions", Placement.status(committed));
+        .withRecords("nodes", nodes)
+        .withRecords("stores", storing)
+        .withRecords("workers", workers)
+        .withRecords("quotas", quotaOwner.status(now))
+        .withRecords("keys", keeper.status())
+        .with("partitions", ReplicaPlacement.status(committed));
   }
 }
--- a/src/main/java/org/otterpond/harbour/Chandlery.java
+++ b/src/main/java/org/otterpond/control/primary/QuotaOwner.java
@@ -1,4 +1,4 @@
-package org.otterpond.harbour;
+package org.otterpond.control.primary;
 
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -6,10 +6,10 @@
 import java.util.Iterator;
 import java.util.List;
 import java.util.Map;
-import org.otterpond.chart.Configuration;
-import org.otterpond.chart.Service;
-import org.otterpond.chart.Shipper;
-import org.otterpond.signal.Flag;
+import org.otterpond.config.GatewayConfiguration;
+import org.otterpond.config.Service;
+import org.otterpond.config.Tenant;
+import org.otterpond.protocol.WireRecord;
 
 /**
  * The one owner of all quotas: a token bucket a tenant, out of which it lends tokens to the nodes.
@@ -19,11 +19,11 @@
  * counted from when it was lent. Reports are running totals, so a lost or repeated one does no
  * harm, and a grant whose answer was lost only counts for too long.
  */
-public final class Chandlery {
+public final class QuotaOwner {
   private static final long LEDGER_IDLE = 600_000_000;
   private static final double NEVER = 3600;
 
-  private final QuotaTerms terms;
+  private final QuotaSettings terms;
   private final Map<String, Bucket> buckets = new HashMap<>();
 
   /** Tokens lent at once, those numbered from end - left to end being still out. */
@@ -65,7 +65,7 @@
   /** The answer to one ask. */
   record Lent(int count, boolean over, long againMicros) {}
 
-  Chandlery(QuotaTerms terms) {
+  QuotaOwner(QuotaSettings terms) {
     this.terms = terms;
   }
 
@@ -77,7 +77,7 @@
   /**
    * Takes the limits in force. A tenant that is new, or comes again, begins with an empty bucket.
    */
-  void configured(Configuration c, long now) {
+  void configured(GatewayConfiguration c, long now) {
     buckets.values().forEach(b -> b.configured = false);
     for (Service s : c.services().values()) {
       if (s.ratePerSecond() > 0) {
@@ -90,7 +90,7 @@
         b.configured = true;
       }
     }
-    for (Shipper s : c.shippers()) {
+    for (Tenant s : c.tenants()) {
       if (!s.limited()) {
         continue;
       }
@@ -234,14 +234,14 @@
   }
 
   /** For the operators: what each tenant may have, has had and is refused. */
-  List<Flag> status(long now) {
-    List<Flag> out = new ArrayList<>();
+  List<WireRecord> status(long now) {
+    List<WireRecord> out = new ArrayList<>();
     buckets.forEach(
         (name, b) -> {
           refill(b, now);
           expire(b, now);
           out.add(
-              new Flag("quota")
+              new WireRecord("quota")
                   .with("name", name)
                   .with("rate", b.rate)
                   .with("burst", b.burst)
--- a/src/main/java/org/otterpond/harbour/QuotaTerms.java
+++ b/src/main/java/org/otterpond/control/primary/QuotaSettings.java
@@ -1,4 +1,4 @@
-package org.otterpond.harbour;
+package org.otterpond.control.primary;
 
 /**
  * What the deployment allows of a tenant in a window beyond its limit, and for how long tokens are
@@ -9,7 +9,7 @@
  * rest. At most three owners' tokens can be out at a time (two by the order of takeovers, a third
  * only after a restart forgot when the one before began), so each lends a third.
  */
-public record QuotaTerms(
+public record QuotaSettings(
     long windowMicros,
     double excess,
     double slack,
@@ -22,7 +22,7 @@
   private static final double CEILING_SLACK = 5;
 
   /** Where services have no ceilings. */
-  public QuotaTerms(long windowMicros, double excess, double slack, long lentMicros) {
+  public QuotaSettings(long windowMicros, double excess, double slack, long lentMicros) {
     this(windowMicros, excess, slack, lentMicros, 5_000_000, 0);
   }
 
