--- a/src/main/java/org/otterpond/harbour/Placement.java
+++ b/src/main/java/org/otterpond/control/primary/ReplicaPlacement.java
@@ -1,4 +1,4 @@
-package org.otterpond.harbour;
+package org.otterpond.control.primary;
 
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -9,15 +9,17 @@
 import java.util.Set;
 import java.util.TreeMap;
 import java.util.function.Consumer;
-import org.otterpond.replica.GroupView;
-import org.otterpond.signal.Flag;
+import org.otterpond.control.state.Assignments;
+import org.otterpond.protocol.WireRecord;
+import org.otterpond.replication.GroupConfiguration;
+import org.otterpond.runtime.NodeRuntime;
 
 /**
  * The configuration manager of the message partitions, on the core's primary: founds them once,
  * says which machines each should have, and installs the configurations that members propose, the
  * first on each version.
  */
-final class Placement {
+final class ReplicaPlacement {
   static final String PARTITION = "partition:";
   static final String RETIRING = "retiring:";
   private static final long SETTLED = 1_500_000;
@@ -30,7 +32,7 @@
   private static final int MOST_PARTITIONS = 1024;
   private static final int PARTITIONS_A_STORE = 3;
 
-  private final Deck deck;
+  private final NodeRuntime runtime;
   private final int copies;
 
   /** Over how many zones the copies are spread: one more than may be lost, two at least. */
@@ -45,30 +47,30 @@
   /** A machine that stores messages. */
   record Store(String disk, String address, String name, String zone, long heard) {
     String member() {
-      return GroupView.member(disk, address);
+      return GroupConfiguration.member(disk, address);
     }
   }
 
   /** Writes an assignment to the core's group. */
   interface Writer {
-    boolean assign(Flag entry, Runnable done);
+    boolean assign(WireRecord entry, Runnable done);
   }
 
-  Placement(Deck deck, int faults, int zoneFaults, Writer writer) {
-    this.deck = deck;
+  ReplicaPlacement(NodeRuntime runtime, int faults, int zoneFaults, Writer writer) {
+    this.runtime = runtime;
     this.zones = Math.max(2, zoneFaults + 1);
     this.copies = faults + 1;
     this.writer = writer;
   }
 
   void began() {
-    changedAt = deck.now();
-    steppedAt = deck.now();
+    changedAt = runtime.now();
+    steppedAt = runtime.now();
     seen = Set.of();
   }
 
-  private static Flag entryOf(GroupView v) {
-    return v.toFlag(Assignments.KIND).with("key", PARTITION + v.group());
+  private static WireRecord entryOf(GroupConfiguration v) {
+    return v.toWireRecord(Assignments.KIND).with("key", PARTITION + v.group());
   }
 
   // --------------------------------------------------------------- placing
@@ -86,7 +88,7 @@
       changedAt = now;
     }
     shunnedUntil.values().removeIf(t -> t <= now);
-    List<Flag> partitions = held.under(PARTITION);
+    List<WireRecord> partitions = held.under(PARTITION);
     if (partitions.isEmpty()) {
       if (!alive.isEmpty() && now - changedAt > SETTLED) {
         found(alive);
@@ -119,10 +121,10 @@
       List<String> m = new ArrayList<>(members.stream().map(Store::member).toList());
       m.forEach(x -> load.merge(x, 1, Integer::sum));
       led.merge(m.get(0), 1, Integer::sum);
-      GroupView v = new GroupView(p, 1, m.get(0), m.subList(1, m.size()), m);
+      GroupConfiguration v = new GroupConfiguration(p, 1, m.get(0), m.subList(1, m.size()), m);
       writer.assign(entryOf(v).with("of", count), () -> {});
     }
-    deck.event(
+    runtime.event(
         "event=partitions_founded count="
             + count
             + " stores="
@@ -167,7 +169,7 @@
    * Wants others in place of machines that are gone, shunned or to be emptied; then evens out, a
    * few at a time.
    */
-  private void repair(List<Flag> partitions, List<Store> stores, long now) {
+  private void repair(List<WireRecord> partitions, List<Store> stores, long now) {
     if (stores.isEmpty()) {
       return;
     }
@@ -175,16 +177,16 @@
     stores.forEach(s -> byMember.put(s.member(), s));
     Map<String, Integer> load = new HashMap<>();
     stores.forEach(s -> load.put(s.member(), 0));
-    List<GroupView> views = new ArrayList<>();
-    for (Flag f : partitions) {
-      GroupView v = GroupView.of(f);
+    List<GroupConfiguration> views = new ArrayList<>();
+    for (WireRecord f : partitions) {
+      GroupConfiguration v = GroupConfiguration.of(f);
       views.add(v);
       v.wanted().forEach(m -> load.merge(m, 1, Integer::sum));
     }
     int changes = 0;
     int moving = 0;
     int of = views.size();
-    for (GroupView v : views) {
+    for (GroupConfiguration v : views) {
       List<Store> kept = new ArrayList<>();
       for (String m : v.wanted()) {
         if (byMember.containsKey(m) && !shunned(v.group(), m)) {
@@ -221,11 +223,11 @@
   }
 
   /** Machines that were added take their part. */
-  private void even(List<GroupView> views, List<Store> stores, Map<String, Integer> load) {
+  private void even(List<GroupConfiguration> views, List<Store> stores, Map<String, Integer> load) {
     int moves = 0;
     Map<String, Store> byMember = new HashMap<>();
     stores.forEach(s -> byMember.put(s.member(), s));
-    for (GroupView v : views) {
+    for (GroupConfiguration v : views) {
       if (moves >= MOVES_AT_ONCE) {
         return;
       }
@@ -273,36 +275,37 @@
    * @param proved for an answer that rests on what is held, and is no commit
    */
   void reconfigure(
-      Flag ask,
+      WireRecord ask,
       Assignments held,
       Assignments committed,
-      Consumer<Flag> reply,
-      Consumer<Flag> proved) {
-    GroupView proposed = GroupView.of(ask.flag("view"));
+      Consumer<WireRecord> reply,
+      Consumer<WireRecord> proved) {
+    GroupConfiguration proposed = GroupConfiguration.of(ask.nested("view"));
     String key = PARTITION + proposed.group();
-    Flag now = held.get(key);
+    WireRecord now = held.get(key);
     if (now == null) {
-      proved.accept(new Flag("reply"));
+      proved.accept(new WireRecord("reply"));
       return;
     }
-    GroupView current = GroupView.of(now);
+    GroupConfiguration current = GroupConfiguration.of(now);
     if (proposed.version() != current.version() + 1) {
-      Flag told = committed.get(key);
+      WireRecord told = committed.get(key);
       // What is not committed yet is nobody's to know; the proposer asks again.
       if (told != null && told.number("no") == now.number("no")) {
-        proved.accept(new Flag("reply").with("view", GroupView.of(told).toFlag("view")));
+        proved.accept(
+            new WireRecord("reply").with("view", GroupConfiguration.of(told).toWireRecord("view")));
       }
       return;
     }
-    long time = deck.now();
+    long time = runtime.now();
     for (String m : current.members()) {
       if (!proposed.has(m) && current.wanted().contains(m)) {
         // Suspected by its own group: others take its place here for a while.
         shunnedUntil.put(current.group() + " " + m, time + SHUNNED);
       }
     }
-    GroupView next =
-        new GroupView(
+    GroupConfiguration next =
+        new GroupConfiguration(
             proposed.group(),
             proposed.version(),
             proposed.primary(),
@@ -312,7 +315,7 @@
     writer.assign(
         entryOf(next).with("of", now.number("of")),
         () -> {
-          deck.event(
+          runtime.event(
               "event=group_configured group="
                   + next.group()
                   + " version="
@@ -321,17 +324,20 @@
                   + next.primary()
                   + " secondaries="
                   + next.secondaries().size());
-          reply.accept(new Flag("reply").with("installed", true).with("view", next.toFlag("view")));
+          reply.accept(
+              new WireRecord("reply")
+                  .with("installed", true)
+                  .with("view", next.toWireRecord("view")));
         });
   }
 
   /** A primary could not bring a wanted machine up to date: another is wanted in its place. */
-  void candidateFailed(Flag ask, Assignments held, Consumer<Flag> reply) {
-    Flag now = held.get(PARTITION + ask.number("group"));
-    if (now != null && !GroupView.of(now).has(ask.text("member"))) {
-      shunnedUntil.put(ask.number("group") + " " + ask.text("member"), deck.now() + SHUNNED);
+  void candidateFailed(WireRecord ask, Assignments held, Consumer<WireRecord> reply) {
+    WireRecord now = held.get(PARTITION + ask.number("group"));
+    if (now != null && !GroupConfiguration.of(now).has(ask.text("member"))) {
+      shunnedUntil.put(ask.number("group") + " " + ask.text("member"), runtime.now() + SHUNNED);
     }
-    reply.accept(new Flag("reply"));
+    reply.accept(new WireRecord("reply"));
   }
 
   // -------------------------------------------------------------- retiring
@@ -341,34 +347,34 @@
       List<Store> stores,
       Assignments held,
       Assignments committed,
-      Consumer<Flag> reply,
-      Consumer<Flag> proved) {
-    Flag begun = held.get(RETIRING + node);
+      Consumer<WireRecord> reply,
+      Consumer<WireRecord> proved) {
+    WireRecord begun = held.get(RETIRING + node);
     Store store = stores.stream().filter(s -> s.name().equals(node)).findFirst().orElse(null);
     if (begun != null && (store == null || store.disk().equals(begun.text("disk")))) {
       if (committed.get(RETIRING + node) != null) {
-        proved.accept(new Flag("reply").with("status", 200));
+        proved.accept(new WireRecord("reply").with("status", 200));
       }
       // Else it is being written, and the asker asks again.
       return;
     }
     if (store == null) {
-      proved.accept(new Flag("reply").with("status", 404));
+      proved.accept(new WireRecord("reply").with("status", 404));
       return;
     }
     long left = usable(stores, held).stream().filter(s -> !s.name().equals(node)).count();
     if (left < copies) {
-      proved.accept(new Flag("reply").with("status", 409));
+      proved.accept(new WireRecord("reply").with("status", 409));
       return;
     }
     writer.assign(
-        new Flag(Assignments.KIND)
+        new WireRecord(Assignments.KIND)
             .with("key", RETIRING + node)
             .with("disk", store.disk())
             .with("member", store.member()),
         () -> {
-          deck.event("event=retire_begun node=" + node);
-          reply.accept(new Flag("reply").with("status", 200));
+          runtime.event("event=retire_begun node=" + node);
+          reply.accept(new WireRecord("reply").with("status", 200));
         });
   }
 
@@ -376,35 +382,35 @@
    * Done only when no partition has a copy there nor wants one, and each has all the copies it
    * should.
    */
-  static Flag retired(String node, Assignments committed) {
-    Flag r = committed.get(RETIRING + node);
+  static WireRecord retired(String node, Assignments committed) {
+    WireRecord r = committed.get(RETIRING + node);
     if (r == null) {
-      return new Flag("reply").with("status", 404);
+      return new WireRecord("reply").with("status", 404);
     }
     boolean done = true;
-    for (Flag f : committed.under(PARTITION)) {
-      GroupView v = GroupView.of(f);
+    for (WireRecord f : committed.under(PARTITION)) {
+      GroupConfiguration v = GroupConfiguration.of(f);
       boolean involved = v.has(r.text("member")) || v.wanted().contains(r.text("member"));
       done &= !involved;
     }
-    return new Flag("reply").with("status", 200).with("done", done);
+    return new WireRecord("reply").with("status", 200).with("done", done);
   }
 
   /** For the operators: how many partitions each machine has, and how many lack copies. */
-  static Flag status(Assignments committed) {
+  static WireRecord status(Assignments committed) {
     Map<String, Integer> load = new TreeMap<>();
     int lacking = 0;
-    List<Flag> partitions = committed.under(PARTITION);
-    for (Flag f : partitions) {
-      GroupView v = GroupView.of(f);
-      v.members().forEach(m -> load.merge(GroupView.addressOf(m), 1, Integer::sum));
+    List<WireRecord> partitions = committed.under(PARTITION);
+    for (WireRecord f : partitions) {
+      GroupConfiguration v = GroupConfiguration.of(f);
+      v.members().forEach(m -> load.merge(GroupConfiguration.addressOf(m), 1, Integer::sum));
       lacking += v.members().size() < v.wanted().size() ? 1 : 0;
     }
-    List<Flag> rows = new ArrayList<>();
-    load.forEach((a, n) -> rows.add(new Flag("row").with("addr", a).with("partitions", n)));
-    return new Flag("partitions")
+    List<WireRecord> rows = new ArrayList<>();
+    load.forEach((a, n) -> rows.add(new WireRecord("row").with("addr", a).with("partitions", n)));
+    return new WireRecord("partitions")
         .with("count", partitions.size())
         .with("lacking", lacking)
-        .withFlags("stores", rows);
+        .withRecords("stores", rows);
   }
 }
--- a/src/main/java/org/otterpond/harbour/Register.java
+++ b/src/main/java/org/otterpond/control/primary/WorkerRegistry.java
@@ -1,4 +1,4 @@
-package org.otterpond.harbour;
+package org.otterpond.control.primary;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -6,12 +6,14 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import org.otterpond.control.state.WorkerInstance;
+import org.otterpond.control.state.WorkerState;
 
 /**
  * The primary's table of workers: soft state, from beats and from what nodes tell again after a
  * takeover.
  */
-final class Register {
+final class WorkerRegistry {
   private static final long TOMBSTONE = 60_000_000;
 
   private final long silence;
@@ -22,12 +24,12 @@
   private long sumVersion = -1;
 
   static final class Entry {
-    Vessel vessel;
+    WorkerInstance worker;
     long version;
     long seen;
   }
 
-  Register(long heartbeatMicros) {
+  WorkerRegistry(long heartbeatMicros) {
     this.silence = heartbeatMicros * 3 + heartbeatMicros / 2;
   }
 
@@ -45,33 +47,33 @@
   long sum() {
     if (sumVersion != version) {
       sum = 0;
-      entries.values().forEach(e -> sum += e.vessel.sum());
+      entries.values().forEach(e -> sum += e.worker.sum());
       sumVersion = version;
     }
     return sum;
   }
 
-  Vessel get(String id) {
+  WorkerInstance get(String id) {
     Entry e = entries.get(id);
-    return e == null ? null : e.vessel;
+    return e == null ? null : e.worker;
   }
 
   /** Takes a beat or a re-told record; true if the table changed. */
-  boolean take(Vessel news, long now) {
+  boolean take(WorkerInstance news, long now) {
     Entry e = entries.get(news.id());
     if (e == null) {
       e = new Entry();
       entries.put(news.id(), e);
-      if (news.state() == VesselState.IN_SERVICE) {
+      if (news.state() == WorkerState.IN_SERVICE) {
         displace(news, now);
       }
     }
-    Vessel merged = e.vessel == null ? news : e.vessel.merge(news);
-    if (merged != e.vessel) {
+    WorkerInstance merged = e.worker == null ? news : e.worker.merge(news);
+    if (merged != e.worker) {
       e.seen = now;
     }
-    boolean changed = merged.differs(e.vessel);
-    e.vessel = merged;
+    boolean changed = merged.differs(e.worker);
+    e.worker = merged;
     if (changed) {
       e.version = ++version;
     }
@@ -79,25 +81,25 @@
   }
 
   /** Another life at this address must be over. */
-  private void displace(Vessel news, long now) {
+  private void displace(WorkerInstance news, long now) {
     for (Entry o : entries.values()) {
-      if (o.vessel != null
-          && !o.vessel.id().equals(news.id())
-          && o.vessel.address().equals(news.address())
-          && o.vessel.state().compareTo(VesselState.LOST) < 0
+      if (o.worker != null
+          && !o.worker.id().equals(news.id())
+          && o.worker.address().equals(news.address())
+          && o.worker.state().compareTo(WorkerState.LOST) < 0
           && now - o.seen > silence / 3) {
-        o.vessel = o.vessel.in(VesselState.LOST);
+        o.worker = o.worker.in(WorkerState.LOST);
         o.version = ++version;
       }
     }
   }
 
   /** Whether another life has shown itself at the address of this one, which therefore is over. */
-  boolean succeeded(Vessel over) {
+  boolean succeeded(WorkerInstance over) {
     for (Entry e : entries.values()) {
-      if (e.vessel.address().equals(over.address())
-          && !e.vessel.id().equals(over.id())
-          && e.vessel.state().compareTo(VesselState.LOST) < 0) {
+      if (e.worker.address().equals(over.address())
+          && !e.worker.id().equals(over.id())
+          && e.worker.state().compareTo(WorkerState.LOST) < 0) {
         return true;
       }
     }
@@ -108,12 +110,12 @@
    * Marks silent workers as lost, unless so many of a service are silent that the silence must be
    * ours.
    */
-  List<Vessel> expire(long now) {
-    List<Vessel> lost = new ArrayList<>();
+  List<WorkerInstance> expire(long now) {
+    List<WorkerInstance> lost = new ArrayList<>();
     Map<String, int[]> perService = new HashMap<>();
     for (Entry e : entries.values()) {
-      if (e.vessel.state().compareTo(VesselState.LOST) < 0) {
-        int[] n = perService.computeIfAbsent(e.vessel.service(), s -> new int[2]);
+      if (e.worker.state().compareTo(WorkerState.LOST) < 0) {
+        int[] n = perService.computeIfAbsent(e.worker.service(), s -> new int[2]);
         n[0]++;
         n[1] += now - e.seen > silence ? 1 : 0;
       }
@@ -121,29 +123,29 @@
     Iterator<Entry> it = entries.values().iterator();
     while (it.hasNext()) {
       Entry e = it.next();
-      if (e.vessel.state().compareTo(VesselState.LOST) >= 0) {
+      if (e.worker.state().compareTo(WorkerState.LOST) >= 0) {
         if (now - e.seen > TOMBSTONE) {
           it.remove();
         }
         continue;
       }
-      int[] n = perService.get(e.vessel.service());
+      int[] n = perService.get(e.worker.service());
       boolean panic = n[1] * 2 > n[0];
       long bound = panic ? silence * 4 : silence;
       if (now - e.seen > bound && now - since > silence) {
-        e.vessel = e.vessel.in(VesselState.LOST);
+        e.worker = e.worker.in(WorkerState.LOST);
         e.version = ++version;
-        lost.add(e.vessel);
+        lost.add(e.worker);
       }
     }
     return lost;
   }
 
-  List<Vessel> newerThan(long known) {
-    List<Vessel> out = new ArrayList<>();
+  List<WorkerInstance> newerThan(long known) {
+    List<WorkerInstance> out = new ArrayList<>();
     for (Entry e : entries.values()) {
       if (e.version > known) {
-        out.add(e.vessel);
+        out.add(e.worker);
       }
     }
     return out;
--- a/src/main/java/org/otterpond/harbour/TakenChanges.java
+++ b/src/main/java/org/otterpond/control/state/AppliedChanges.java
@@ -1,4 +1,4 @@
-package org.otterpond.harbour;
+package org.otterpond.control.state;
 
 import com.google.common.io.BaseEncoding;
 import java.nio.ByteBuffer;
@@ -13,7 +13,7 @@
  * ten a second. All copies of the state apply the same changes in the same order, so they forget
  * the same ones.
  */
-final class TakenChanges {
+public final class AppliedChanges {
   static final int MOST = 8192;
 
   /** Half of a SHA-256 tells changes apart well enough. */
@@ -28,7 +28,7 @@
     put(revision, shortened(digest));
   }
 
-  boolean holds(long revision, String digest) {
+  public boolean holds(long revision, String digest) {
     byte[] known = digests.get(revision);
     return known != null && Arrays.equals(known, shortened(digest));
   }
--- a/src/main/java/org/otterpond/harbour/Assignments.java
+++ b/src/main/java/org/otterpond/control/state/Assignments.java
@@ -1,10 +1,10 @@
-package org.otterpond.harbour;
+package org.otterpond.control.state;
 
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import org.otterpond.signal.Flag;
+import org.otterpond.protocol.WireRecord;
 
 /**
  * Who holds what, as the core has written it: message partitions, key ranges, machines to be
@@ -12,26 +12,26 @@
  * entries in the same order.
  */
 public final class Assignments {
-  static final String KIND = "assign";
+  public static final String KIND = "assign";
 
-  private final Map<String, Flag> entries = new LinkedHashMap<>();
+  private final Map<String, WireRecord> entries = new LinkedHashMap<>();
   private long number;
 
-  long number() {
+  public long number() {
     return number;
   }
 
-  Flag get(String key) {
+  public WireRecord get(String key) {
     return entries.get(key);
   }
 
-  Map<String, Flag> all() {
+  Map<String, WireRecord> all() {
     return entries;
   }
 
   /** Those whose keys begin so and that stand. */
-  List<Flag> under(String prefix) {
-    List<Flag> out = new ArrayList<>();
+  public List<WireRecord> under(String prefix) {
+    List<WireRecord> out = new ArrayList<>();
     entries.forEach(
         (k, f) -> {
           if (k.startsWith(prefix) && !f.truth("gone")) {
@@ -41,8 +41,8 @@
     return out;
   }
 
-  Flag apply(Flag entry) {
-    Flag f = new Flag(KIND);
+  public WireRecord apply(WireRecord entry) {
+    WireRecord f = new WireRecord(KIND);
     entry.fields().forEach(f::with);
     f.with("no", ++number);
     // The newest stand last, so that what is newer than a number is found at the end.
@@ -51,9 +51,9 @@
     return f;
   }
 
-  List<Flag> newerThan(long known) {
-    List<Flag> out = new ArrayList<>();
-    for (Flag f : entries.values()) {
+  public List<WireRecord> newerThan(long known) {
+    List<WireRecord> out = new ArrayList<>();
+    for (WireRecord f : entries.values()) {
       if (f.number("no") > known) {
         out.add(f);
       }
@@ -61,20 +61,22 @@
     return out;
   }
 
-  Flag snapshot() {
-    return new Flag("assignments").with("number", number).withFlags("entries", entries.values());
+  public WireRecord snapshot() {
+    return new WireRecord("assignments")
+        .with("number", number)
+        .withRecords("entries", entries.values());
   }
 
-  void load(Flag state) {
+  void load(WireRecord state) {
     entries.clear();
     number = 0;
     if (state != null) {
       number = state.number("number");
-      state.flags("entries").forEach(f -> entries.put(f.text("key"), f));
+      state.records("entries").forEach(f -> entries.put(f.text("key"), f));
     }
   }
 
-  Assignments copy() {
+  public Assignments copy() {
     Assignments a = new Assignments();
     a.number = number;
     a.entries.putAll(entries);
--- a/src/main/java/org/otterpond/harbour/EpochRecord.java
+++ b/src/main/java/org/otterpond/control/state/EpochRecord.java
@@ -1,8 +1,8 @@
-package org.otterpond.harbour;
+package org.otterpond.control.state;
 
 import java.util.List;
 import java.util.Set;
-import org.otterpond.signal.Flag;
+import org.otterpond.protocol.WireRecord;
 
 /**
  * What an epoch names: its primary, its backups (none only in a core of one, or where no loss is to
@@ -16,58 +16,58 @@
 public record EpochRecord(
     String fleet,
     long epoch,
-    Berth primary,
-    List<Berth> backups,
-    List<Berth> members,
+    CoreMember primary,
+    List<CoreMember> backups,
+    List<CoreMember> members,
     int target,
-    List<List<Berth>> priors) {
+    List<List<CoreMember>> priors) {
   public EpochRecord(
       String fleet,
       long epoch,
-      Berth primary,
-      List<Berth> backups,
-      List<Berth> members,
+      CoreMember primary,
+      List<CoreMember> backups,
+      List<CoreMember> members,
       int target) {
     this(fleet, epoch, primary, backups, members, target, List.of());
   }
 
-  public Flag toFlag() {
-    List<Flag> sets =
-        priors.stream().map(p -> new Flag("set").withFlags("members", flags(p))).toList();
-    Flag f =
-        new Flag("epoch")
+  public WireRecord toWireRecord() {
+    List<WireRecord> sets =
+        priors.stream().map(p -> new WireRecord("set").withRecords("members", records(p))).toList();
+    WireRecord f =
+        new WireRecord("epoch")
             .with("fleet", fleet)
             .with("epoch", epoch)
-            .with("primary", primary.toFlag())
-            .withFlags("backups", flags(backups))
-            .withFlags("members", flags(members))
+            .with("primary", primary.toWireRecord())
+            .withRecords("backups", records(backups))
+            .withRecords("members", records(members))
             .with("target", target);
-    return sets.isEmpty() ? f : f.withFlags("priors", sets);
+    return sets.isEmpty() ? f : f.withRecords("priors", sets);
   }
 
-  public static EpochRecord of(Flag f) {
+  public static EpochRecord of(WireRecord f) {
     if (f == null) {
       return null;
     }
     // Journals written when there was one backup name it by itself.
-    List<Berth> backups =
-        f.has("backup") ? List.of(Berth.of(f.flag("backup"))) : berths(f, "backups");
+    List<CoreMember> backups =
+        f.has("backup") ? List.of(CoreMember.of(f.nested("backup"))) : zoneShares(f, "backups");
     return new EpochRecord(
         f.text("fleet"),
         f.number("epoch"),
-        Berth.of(f.flag("primary")),
+        CoreMember.of(f.nested("primary")),
         backups,
-        berths(f, "members"),
+        zoneShares(f, "members"),
         (int) f.number("target"),
-        f.flags("priors").stream().map(p -> berths(p, "members")).toList());
+        f.records("priors").stream().map(p -> zoneShares(p, "members")).toList());
   }
 
-  private static List<Flag> flags(List<Berth> berths) {
-    return berths.stream().map(Berth::toFlag).toList();
+  private static List<WireRecord> records(List<CoreMember> zoneShares) {
+    return zoneShares.stream().map(CoreMember::toWireRecord).toList();
   }
 
-  private static List<Berth> berths(Flag f, String name) {
-    return f.flags(name).stream().map(Berth::of).toList();
+  private static List<CoreMember> zoneShares(WireRecord f, String name) {
+    return f.records(name).stream().map(CoreMember::of).toList();
   }
 
   public boolean hasMember(String diskId) {
@@ -88,11 +88,11 @@
   }
 
   /** Whether these disks are a majority of the set. */
-  static boolean isMajority(List<Berth> set, Set<String> disks) {
+  public static boolean isMajority(List<CoreMember> set, Set<String> disks) {
     return set.stream().filter(m -> disks.contains(m.diskId())).count() >= set.size() / 2 + 1;
   }
 
-  static boolean sameSet(List<Berth> a, List<Berth> b) {
+  public static boolean sameSet(List<CoreMember> a, List<CoreMember> b) {
     return a.size() == b.size() && a.stream().allMatch(m -> place(b, m.diskId()) >= 0);
   }
 
@@ -100,9 +100,9 @@
     return place(members, diskId);
   }
 
-  private static int place(List<Berth> berths, String diskId) {
-    for (int i = 0; i < berths.size(); i++) {
-      if (berths.get(i).diskId().equals(diskId)) {
+  private static int place(List<CoreMember> zoneShares, String diskId) {
+    for (int i = 0; i < zoneShares.size(); i++) {
+      if (zoneShares.get(i).diskId().equals(diskId)) {
         return i;
       }
     }
--- a/src/main/java/org/otterpond/harbour/LossTolerance.java
+++ b/src/main/java/org/otterpond/control/state/FaultTolerance.java
@@ -1,4 +1,4 @@
-package org.otterpond.harbour;
+package org.otterpond.control.state;
 
 import java.util.ArrayList;
 import java.util.Collection;
@@ -16,11 +16,11 @@
  * @param regionOf the region of each zone; zones that it lacks count as one region, as nothing says
  *     that they are two
  */
-public record LossTolerance(int machines, int zones, int regions, Map<String, String> regionOf) {
+public record FaultTolerance(int machines, int zones, int regions, Map<String, String> regionOf) {
   private static final int MOST_MEMBERS = 9;
 
-  public static LossTolerance ofMachines(int machines) {
-    return new LossTolerance(machines, 0, 0, Map.of());
+  public static FaultTolerance ofMachines(int machines) {
+    return new FaultTolerance(machines, 0, 0, Map.of());
   }
 
   /** How many backups an epoch has: each lost machine, zone or region may take one copy. */
@@ -33,20 +33,20 @@
     return Math.max(MOST_MEMBERS, 2 * copies() + 1);
   }
 
-  private String region(Berth b) {
+  private String region(CoreMember b) {
     return regionOf.getOrDefault(b.zone(), "");
   }
 
   /**
    * Grows with what the group spans, and no more once no loss that is to be borne takes all of it.
    */
-  int spread(Collection<Berth> group) {
+  public int spread(Collection<CoreMember> group) {
     return (int)
-        (Math.min(zones + 1, group.stream().map(Berth::zone).distinct().count())
+        (Math.min(zones + 1, group.stream().map(CoreMember::zone).distinct().count())
             + Math.min(regions + 1, group.stream().map(this::region).distinct().count()));
   }
 
-  boolean spans(Collection<Berth> group) {
+  public boolean spans(Collection<CoreMember> group) {
     return spread(group) == zones + regions + 2;
   }
 
@@ -54,14 +54,15 @@
    * Takes backups from the candidates. What the group spans counts first, then a candidate's place;
    * of those that may change places, the one of a zone that has no copy yet.
    */
-  List<Berth> backups(Berth primary, List<Berth> candidates, Comparator<Berth> place, int count) {
-    List<Berth> group = new ArrayList<>(List.of(primary));
-    List<Berth> left = new ArrayList<>(candidates);
+  public List<CoreMember> backups(
+      CoreMember primary, List<CoreMember> candidates, Comparator<CoreMember> place, int count) {
+    List<CoreMember> group = new ArrayList<>(List.of(primary));
+    List<CoreMember> left = new ArrayList<>(candidates);
     while (group.size() <= count && !left.isEmpty()) {
-      Berth next =
+      CoreMember next =
           left.stream()
               .min(
-                  Comparator.comparing((Berth b) -> -spread(with(group, b)))
+                  Comparator.comparing((CoreMember b) -> -spread(with(group, b)))
                       .thenComparing(place)
                       .thenComparing(b -> group.stream().anyMatch(g -> g.zone().equals(b.zone()))))
               .orElseThrow();
@@ -75,16 +76,18 @@
    * By how many members the worst loss to be borne leaves more than a majority; below 0 it leaves
    * none.
    */
-  int margin(Collection<Berth> members) {
+  public int margin(Collection<CoreMember> members) {
     int lost =
         Math.max(
             machines,
             Math.max(
-                largest(members, Berth::zone, zones), largest(members, this::region, regions)));
+                largest(members, CoreMember::zone, zones),
+                largest(members, this::region, regions)));
     return members.size() - lost - (members.size() / 2 + 1);
   }
 
-  private static int largest(Collection<Berth> members, Function<Berth, String> place, int count) {
+  private static int largest(
+      Collection<CoreMember> members, Function<CoreMember, String> place, int count) {
     return (int)
         members.stream()
             .collect(Collectors.groupingBy(place, Collectors.counting()))
@@ -100,12 +103,12 @@
    * The members that these machines make best: as many as may be, unless fewer bear a loss that
    * more do not.
    */
-  List<Berth> members(List<Berth> machinesThere) {
-    List<Berth> in = new ArrayList<>(machinesThere);
+  public List<CoreMember> members(List<CoreMember> machinesThere) {
+    List<CoreMember> in = new ArrayList<>(machinesThere);
     while (in.size() > mostMembers()) {
       in.remove(mostCrowded(in));
     }
-    List<Berth> best = List.copyOf(in);
+    List<CoreMember> best = List.copyOf(in);
     while (margin(best) < 0 && in.size() > 2 * machines + 1) {
       in.remove(mostCrowded(in));
       if (margin(in) > margin(best)) {
@@ -116,23 +119,23 @@
   }
 
   /** Whom the others miss least: the last of those whose zone has most members. */
-  private Berth mostCrowded(List<Berth> members) {
+  private CoreMember mostCrowded(List<CoreMember> members) {
     return members.stream()
         .max(
-            Comparator.comparing((Berth b) -> Math.min(0, margin(without(members, b))))
+            Comparator.comparing((CoreMember b) -> Math.min(0, margin(without(members, b))))
                 .thenComparing(b -> members.stream().filter(m -> m.zone().equals(b.zone())).count())
                 .thenComparing(members::indexOf))
         .orElseThrow();
   }
 
-  private static List<Berth> with(List<Berth> some, Berth b) {
-    List<Berth> out = new ArrayList<>(some);
+  private static List<CoreMember> with(List<CoreMember> some, CoreMember b) {
+    List<CoreMember> out = new ArrayList<>(some);
     out.add(b);
     return out;
   }
 
-  private static List<Berth> without(List<Berth> some, Berth b) {
-    List<Berth> out = new ArrayList<>(some);
+  private static List<CoreMember> without(List<CoreMember> some, CoreMember b) {
+    List<CoreMember> out = new ArrayList<>(some);
     out.remove(b);
     return out;
   }
--- a/src/main/java/org/otterpond/harbour/Claim.java
+++ b/src/main/java/org/otterpond/control/state/IdempotencyKeyLock.java
@@ -1,4 +1,4 @@
-package org.otterpond.harbour;
+package org.otterpond.control.state;
 
 /**
  * What the ledger holds of one operation key.
@@ -6,4 +6,4 @@
  * @param holder the node that claimed it, which alone knows how the run went
  * @param since monotonic time at which this node came to know the claim; its window runs from here
  */
-record Claim(String token, String holder, long since) {}
+public record IdempotencyKeyLock(String token, String holder, long since) {}
--- a/src/main/java/org/otterpond/harbour/Vessel.java
+++ b/src/main/java/org/otterpond/control/state/WorkerInstance.java
@@ -1,30 +1,30 @@
-package org.otterpond.harbour;
+package org.otterpond.control.state;
 
 import com.google.common.hash.Hashing;
 import java.nio.charset.StandardCharsets;
-import org.otterpond.signal.Flag;
+import org.otterpond.protocol.WireRecord;
 
 /**
  * One life of a worker, as its newest beat told it. Times in microseconds of the reading node's
  * monotonic clock.
  */
-public record Vessel(
+public record WorkerInstance(
     String id,
     String service,
     String address,
     String zone,
     String revision,
     int slots,
-    VesselState state,
+    WorkerState state,
     long sequence,
     long warmUntil) {
 
-  public Flag toFlag(long now) {
-    return toFlag("vessel", now);
+  public WireRecord toWireRecord(long now) {
+    return toWireRecord("vessel", now);
   }
 
-  Flag toFlag(String kind, long now) {
-    return new Flag(kind)
+  public WireRecord toWireRecord(String kind, long now) {
+    return new WireRecord(kind)
         .with("id", id)
         .with("service", service)
         .with("addr", address)
@@ -36,44 +36,45 @@
         .with("warm", Math.max(0, warmUntil - now));
   }
 
-  public static Vessel of(Flag f, long now) {
-    return new Vessel(
+  public static WorkerInstance of(WireRecord f, long now) {
+    return new WorkerInstance(
         f.text("id"),
         f.text("service"),
         f.text("addr"),
         f.text("zone"),
         f.text("rev"),
         (int) f.number("slots"),
-        VesselState.valueOf(f.text("state")),
+        WorkerState.valueOf(f.text("state")),
         f.number("seq"),
         now + f.number("warm"));
   }
 
-  public Vessel in(VesselState other) {
-    return new Vessel(id, service, address, zone, revision, slots, other, sequence, warmUntil);
+  public WorkerInstance in(WorkerState other) {
+    return new WorkerInstance(
+        id, service, address, zone, revision, slots, other, sequence, warmUntil);
   }
 
   /** What is known after hearing {@code news}, this being what was known before. */
-  public Vessel merge(Vessel news) {
-    if (state == VesselState.GONE) {
+  public WorkerInstance merge(WorkerInstance news) {
+    if (state == WorkerState.GONE) {
       return this;
     }
-    if (news.state == VesselState.GONE) {
+    if (news.state == WorkerState.GONE) {
       return news;
     }
     if (news.sequence < sequence
         || (news.sequence == sequence && news.state.compareTo(state) <= 0)) {
       return this;
     }
-    if (state == VesselState.DRAINING && news.state == VesselState.IN_SERVICE) {
-      return news.in(VesselState.DRAINING);
+    if (state == WorkerState.DRAINING && news.state == WorkerState.IN_SERVICE) {
+      return news.in(WorkerState.DRAINING);
     }
     return news;
   }
 
   /** A number by which whole tables are compared; 0 for a life that is over. */
-  long sum() {
-    if (state.compareTo(VesselState.LOST) >= 0) {
+  public long sum() {
+    if (state.compareTo(WorkerState.LOST) >= 0) {
       return 0;
     }
     return Hashing.murmur3_128()
@@ -84,7 +85,7 @@
   }
 
   /** Whether delivering this instead of {@code old} tells anybody anything. */
-  public boolean differs(Vessel old) {
+  public boolean differs(WorkerInstance old) {
     return old == null
         || old.state != state
         || old.slots != slots
--- a/src/main/java/org/otterpond/harbour/VesselState.java
+++ b/src/main/java/org/otterpond/control/state/WorkerState.java
@@ -1,10 +1,10 @@
-package org.otterpond.harbour;
+package org.otterpond.control.state;
 
 /**
  * Where a worker's life stands; a life only moves down this list, but LOST may come back by a newer
  * beat.
  */
-public enum VesselState {
+public enum WorkerState {
   IN_SERVICE,
   DRAINING,
   LOST,
--- a/src/main/java/org/otterpond/keys/KeyHeat.java
+++ b/src/main/java/org/otterpond/keyrange/KeyLoad.java
@@ -1,4 +1,4 @@
-package org.otterpond.keys;
+package org.otterpond.keyrange;
 
 import java.util.HashMap;
 import java.util.Iterator;
@@ -9,7 +9,7 @@
  * How often the keys of one service are asked for, lately and for a while. Only keys that were
  * asked for are held.
  */
-public final class KeyHeat {
+public final class KeyLoad {
   private static final double LATELY = 1.2;
   private static final double A_WHILE = 8;
   private static final double COLD = 0.02;
--- a/src/main/java/org/otterpond/keys/KeyRange.java
+++ b/src/main/java/org/otterpond/keyrange/KeyRange.java
@@ -1,29 +1,29 @@
-package org.otterpond.keys;
+package org.otterpond.keyrange;
 
-import org.otterpond.signal.Flag;
+import org.otterpond.protocol.WireRecord;
 
 /** Who owns the keys of a service from one key on, up to the next range's first. */
 public record KeyRange(
-    String service, int from, String owner, String address, long fence, RangeState state) {
+    String service, int from, String owner, String address, long fence, KeyRangeState state) {
   public static final String PREFIX = "keys:";
   public static final int LAST_KEY = 65_535;
 
-  public static KeyRange of(Flag f) {
+  public static KeyRange of(WireRecord f) {
     return new KeyRange(
         f.text("service"),
         (int) f.number("from"),
         f.text("owner"),
         f.text("addr"),
         f.number("fence"),
-        RangeState.valueOf(f.text("state")));
+        KeyRangeState.valueOf(f.text("state")));
   }
 
   public static String key(String service, int from) {
     return PREFIX + service + ":" + from;
   }
 
-  public Flag toFlag(String kind) {
-    return new Flag(kind)
+  public WireRecord toWireRecord(String kind) {
+    return new WireRecord(kind)
         .with("key", key(service, from))
         .with("service", service)
         .with("from", from)
--- a/src/main/java/org/otterpond/keys/Balancer.java
+++ b/src/main/java/org/otterpond/keyrange/KeyRangeBalancer.java
@@ -1,4 +1,4 @@
-package org.otterpond.keys;
+package org.otterpond.keyrange;
 
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -10,7 +10,7 @@
  * Says which keys should go elsewhere: pieces of ranges whose owners are asked for more than they
  * can do, as narrow as the heat allows. Few moves, and none where the owners keep up.
  */
-final class Balancer {
+final class KeyRangeBalancer {
   private static final long PERIOD = 400_000;
 
   /**
@@ -38,20 +38,20 @@
   /** Even a range that nobody asked for weighs a little, so that cold ranges spread. */
   private static final double COLD_WEIGHT = 0.05;
 
-  private final KeeperHost host;
-  private final KeyKeeper keeper;
+  private final KeyRangeRuntime host;
+  private final KeyRangeManager keeper;
   private final Map<String, Long> lookedAt = new HashMap<>();
 
   /** One worker with what is asked of it. */
   private static final class Load {
-    final KeeperHost.Worker worker;
-    final List<Lease> leases = new ArrayList<>();
+    final KeyRangeRuntime.Worker worker;
+    final List<KeyRangeLease> leases = new ArrayList<>();
     double lately;
     double while0;
     double keys;
     int moving;
 
-    Load(KeeperHost.Worker worker) {
+    Load(KeyRangeRuntime.Worker worker) {
       this.worker = worker;
     }
 
@@ -60,18 +60,18 @@
     }
   }
 
-  Balancer(KeeperHost host, KeyKeeper keeper) {
+  KeyRangeBalancer(KeyRangeRuntime host, KeyRangeManager keeper) {
     this.host = host;
     this.keeper = keeper;
   }
 
   private Map<String, Load> loads(String service) {
     Map<String, Load> out = new HashMap<>();
-    for (KeeperHost.Worker w : host.workers(service)) {
+    for (KeyRangeRuntime.Worker w : host.workers(service)) {
       out.put(w.instance(), new Load(w));
     }
-    KeyHeat heat = keeper.heat(service);
-    for (Lease l : keeper.leases(service).values()) {
+    KeyLoad heat = keeper.heat(service);
+    for (KeyRangeLease l : keeper.leases(service).values()) {
       Load o = out.get(l.owner);
       if (o == null) {
         continue;
@@ -81,7 +81,7 @@
       o.lately += h[0];
       o.while0 += h[1];
       o.keys += (last - l.from + 1) / (double) (KeyRange.LAST_KEY + 1);
-      if (l.state == RangeState.HELD) {
+      if (l.state == KeyRangeState.HELD) {
         o.leases.add(l);
       } else {
         o.moving++;
@@ -99,7 +99,7 @@
    * Who is to have a range that nobody holds: the one with the most room, and of equals the one
    * with fewest keys.
    */
-  KeeperHost.Worker receiver(Lease l) {
+  KeyRangeRuntime.Worker receiver(KeyRangeLease l) {
     Map<String, Load> loads = loads(l.service);
     double work = work(l.service);
     int n = loads.size();
@@ -131,7 +131,8 @@
     int moving =
         (int)
             keeper.leases(service).values().stream()
-                .filter(l -> l.state == RangeState.RELEASING || l.state == RangeState.GRANTING)
+                .filter(
+                    l -> l.state == KeyRangeState.RELEASING || l.state == KeyRangeState.GRANTING)
                 .count();
     int moves = Math.min(MOVES_A_PERIOD, MOST_MOVING - moving);
     able.sort(Comparator.comparingDouble(o -> -Math.max(o.used(work, true), o.used(work, false))));
@@ -155,7 +156,7 @@
   /** Cuts the owner's hottest keys into pieces that others have room for. */
   private int relieve(
       String service, Load from, List<Load> able, double work, double mean, long now, int most) {
-    KeyHeat heat = keeper.heat(service);
+    KeyLoad heat = keeper.heat(service);
     double slots = Math.max(1, from.worker.slots());
     double excess =
         (Math.max(from.used(work, true), from.used(work, false)) - Math.max(mean, FILL * 0.8))
@@ -165,9 +166,9 @@
     room.remove(from);
     room.sort(Comparator.comparingDouble(o -> Math.max(o.used(work, true), o.used(work, false))));
     int moved = 0;
-    List<Lease> leases = new ArrayList<>(from.leases);
+    List<KeyRangeLease> leases = new ArrayList<>(from.leases);
     leases.sort(Comparator.comparingDouble(l -> -hot(heat, l)));
-    for (Lease l : leases) {
+    for (KeyRangeLease l : leases) {
       while (excess > 0 && moved < most && moved < room.size() && l != null) {
         Load to = room.get(moved);
         double free =
@@ -187,7 +188,7 @@
           break;
         }
         double taken = heat.in(piece[0], piece[1])[0];
-        Lease cut = keeper.cut(l, piece[0], piece[1]);
+        KeyRangeLease cut = keeper.cut(l, piece[0], piece[1]);
         if (cut == null) {
           break;
         }
@@ -198,7 +199,7 @@
         moved++;
         // What is left of this range is looked at again the next time.
         l = cut == l ? null : l;
-        if (l != null && (!l.quiet() || l.state != RangeState.HELD)) {
+        if (l != null && (!l.quiet() || l.state != KeyRangeState.HELD)) {
           l = null;
         }
       }
@@ -206,7 +207,7 @@
     return moved;
   }
 
-  private double hot(KeyHeat heat, Lease l) {
+  private double hot(KeyLoad heat, KeyRangeLease l) {
     return heat.in(l.from, keeper.last(l))[0];
   }
 
@@ -215,7 +216,7 @@
    * the receiver has room for; or one key alone that is hotter, if the receiver still ends up with
    * less than the giver. Null if nothing is worth its move.
    */
-  private static int[] piece(KeyHeat heat, int from, int last, double rate, double most) {
+  private static int[] piece(KeyLoad heat, int from, int last, double rate, double most) {
     List<Map.Entry<Integer, double[]>> keys = new ArrayList<>(heat.of(from, last).entrySet());
     if (keys.size() < 2) {
       return null;
@@ -267,7 +268,7 @@
       }
       while (next < byKeys.size()) {
         Load giver = byKeys.get(next++);
-        Lease widest =
+        KeyRangeLease widest =
             giver.leases.stream()
                 .filter(l -> l.quiet() && now - l.movedAt > REST)
                 .max(Comparator.comparingInt(l -> keeper.last(l) - l.from))
@@ -276,7 +277,7 @@
           continue;
         }
         int half = (widest.from + keeper.last(widest)) / 2 + 1;
-        Lease cut = keeper.cut(widest, half, keeper.last(widest));
+        KeyRangeLease cut = keeper.cut(widest, half, keeper.last(widest));
         if (cut != null) {
           keeper.release(cut);
           moves--;
@@ -288,12 +289,12 @@
 
   /** Joins what one worker holds side by side, where there are many ranges and nothing moves. */
   private void tidy(String service, int workers, long now) {
-    Map<Integer, Lease> all = keeper.leases(service);
+    Map<Integer, KeyRangeLease> all = keeper.leases(service);
     if (all.size() < 3 * workers) {
       return;
     }
     int joined = 0;
-    for (Lease l : new ArrayList<>(all.values())) {
+    for (KeyRangeLease l : new ArrayList<>(all.values())) {
       if (joined < 4 && now - l.movedAt > JOIN_AFTER && all.get(l.from) == l && keeper.join(l)) {
         joined++;
       }
--- a/src/main/java/org/otterpond/keys/Lease.java
+++ b/src/main/java/org/otterpond/keyrange/KeyRangeLease.java
@@ -1,13 +1,13 @@
-package org.otterpond.keys;
+package org.otterpond.keyrange;
 
 /** A range as its keeper knows it: what is written, and what may be on its way. */
-final class Lease {
+final class KeyRangeLease {
   final String service;
   int from;
   String owner;
   String address;
   long fence;
-  RangeState state;
+  KeyRangeState state;
 
   /** The handover token of the last holder, for the next. */
   String token;
@@ -28,7 +28,7 @@
   long movedAt = Long.MIN_VALUE / 2;
   long since;
 
-  Lease(KeyRange r) {
+  KeyRangeLease(KeyRange r) {
     service = r.service();
     from = r.from();
     owner = r.owner();
@@ -42,8 +42,8 @@
   }
 
   /** Another that begins at a later key, with the same owner and the same past. */
-  Lease from(int key) {
-    Lease l = new Lease(new KeyRange(service, key, owner, address, fence, state));
+  KeyRangeLease from(int key) {
+    KeyRangeLease l = new KeyRangeLease(new KeyRange(service, key, owner, address, fence, state));
     l.renewAt = renewAt;
     l.heldUntil = heldUntil;
     l.lostAt = lostAt;
--- a/src/main/java/org/otterpond/keys/HoldTerms.java
+++ b/src/main/java/org/otterpond/keyrange/KeyRangeLeaseSettings.java
@@ -1,4 +1,4 @@
-package org.otterpond.keys;
+package org.otterpond.keyrange;
 
 /**
  * How long a worker is granted its keys, and when another may be sure that it holds them no more.
@@ -6,7 +6,7 @@
  * @param holdMicros the time of one grant, counted by the worker from its arrival
  * @param thawMicros how long after a thaw or a heal a late grant does not count
  */
-public record HoldTerms(long holdMicros, long thawMicros) {
+public record KeyRangeLeaseSettings(long holdMicros, long thawMicros) {
   /** A worker's clock may run slow by this part. */
   private static final double SLOW = 1.02;
 
@@ -21,8 +21,8 @@
   /**
    * The part of the longest hold that is used: the rest is what a worker may miss of its keeper.
    */
-  public static HoldTerms of(long maxHoldMicros, long thawMicros) {
-    return new HoldTerms(
+  public static KeyRangeLeaseSettings of(long maxHoldMicros, long thawMicros) {
+    return new KeyRangeLeaseSettings(
         Math.min(maxHoldMicros, Math.max(maxHoldMicros * 7 / 10, 1_000_000)), thawMicros);
   }
 
--- a/src/main/java/org/otterpond/keys/KeyKeeper.java
+++ b/src/main/java/org/otterpond/keyrange/KeyRangeManager.java
@@ -1,4 +1,4 @@
-package org.otterpond.keys;
+package org.otterpond.keyrange;
 
 import com.google.gson.JsonObject;
 import java.util.ArrayList;
@@ -8,14 +8,14 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeMap;
-import org.otterpond.signal.Flag;
+import org.otterpond.protocol.WireRecord;
 
 /**
  * The one granter of keys, on the core's primary. An owner and its fence are durable before a grant
  * leaves; a range gets another owner only after the one before has answered a release, or once
  * every grant that it may have got has run out on the slowest clock.
  */
-public final class KeyKeeper {
+public final class KeyRangeManager {
   private static final long STEP = 100_000;
   private static final long SETTLED = 2_500_000;
 
@@ -30,11 +30,11 @@
   private static final long GRANT_AGAIN = 250_000;
   private static final int CALLS_A_STEP = 64;
 
-  private final KeeperHost host;
-  private final HoldTerms terms;
-  private final Map<String, TreeMap<Integer, Lease>> services = new HashMap<>();
-  private final Map<String, KeyHeat> heat = new HashMap<>();
-  private final Balancer balancer;
+  private final KeyRangeRuntime host;
+  private final KeyRangeLeaseSettings terms;
+  private final Map<String, TreeMap<Integer, KeyRangeLease>> services = new HashMap<>();
+  private final Map<String, KeyLoad> heat = new HashMap<>();
+  private final KeyRangeBalancer balancer;
   private Set<String> partitioned = Set.of();
 
   /** For services whose keys nobody has: the workers seen, and since when just those. */
@@ -45,10 +45,10 @@
   private long topFence;
   private int calls;
 
-  public KeyKeeper(KeeperHost host, HoldTerms terms) {
+  public KeyRangeManager(KeyRangeRuntime host, KeyRangeLeaseSettings terms) {
     this.host = host;
     this.terms = terms;
-    this.balancer = new Balancer(host, this);
+    this.balancer = new KeyRangeBalancer(host, this);
   }
 
   /**
@@ -56,18 +56,18 @@
    * what this node itself was about to write when an epoch ended may be lost without a word. Only
    * the heat stays, if nobody led between.
    */
-  public void began(List<Flag> written, boolean continued) {
+  public void began(List<WireRecord> written, boolean continued) {
     services.clear();
     if (!continued) {
       heat.clear();
     }
     seen.clear();
     long until = Math.max(host.now(), host.successorFrom()) + terms.longestOfAnother();
-    for (Flag f : written) {
-      Lease l = new Lease(KeyRange.of(f));
+    for (WireRecord f : written) {
+      KeyRangeLease l = new KeyRangeLease(KeyRange.of(f));
       l.heldUntil = until;
       // A call of this node's own time before may be open still.
-      l.lostAt = host.now() + HoldTerms.GRANT_CALL;
+      l.lostAt = host.now() + KeyRangeLeaseSettings.GRANT_CALL;
       // Spread, so that not all are renewed in one moment.
       l.renewAt = host.now() + host.random(4 * STEP);
       ranges(l.service).put(l.from, l);
@@ -79,26 +79,26 @@
     partitioned = Set.copyOf(services);
   }
 
-  private TreeMap<Integer, Lease> ranges(String service) {
+  private TreeMap<Integer, KeyRangeLease> ranges(String service) {
     return services.computeIfAbsent(service, s -> new TreeMap<>());
   }
 
-  KeyHeat heat(String service) {
-    return heat.computeIfAbsent(service, s -> new KeyHeat());
+  KeyLoad heat(String service) {
+    return heat.computeIfAbsent(service, s -> new KeyLoad());
   }
 
-  Map<Integer, Lease> leases(String service) {
+  Map<Integer, KeyRangeLease> leases(String service) {
     return ranges(service);
   }
 
-  int last(Lease l) {
+  int last(KeyRangeLease l) {
     Integer next = ranges(l.service).higherKey(l.from);
     return next == null ? KeyRange.LAST_KEY : next - 1;
   }
 
   /** A node's report: how often keys were asked for there, and how long the work of one takes. */
-  public void reported(Flag report) {
-    KeyHeat h = heat(report.text("service"));
+  public void reported(WireRecord report) {
+    KeyLoad h = heat(report.text("service"));
     h.work(report.number("work") / 1e6);
     List<Object> keys = report.list("keys");
     for (int i = 0; i + 1 < keys.size(); i += 2) {
@@ -119,13 +119,13 @@
     }
     calls = 0;
     for (String s : partitioned) {
-      TreeMap<Integer, Lease> all = ranges(s);
+      TreeMap<Integer, KeyRangeLease> all = ranges(s);
       if (all.isEmpty()) {
         found(s, now);
         continue;
       }
       heat(s).cool(now);
-      for (Lease l : new ArrayList<>(all.values())) {
+      for (KeyRangeLease l : new ArrayList<>(all.values())) {
         step(l, now);
       }
       if (mayMove(now)) {
@@ -139,13 +139,16 @@
    * taken.
    */
   boolean mayMove(long now) {
-    return now > host.successorFrom() + HoldTerms.GRANT_CALL + HoldTerms.ON_ITS_WAY;
+    return now
+        > host.successorFrom()
+            + KeyRangeLeaseSettings.GRANT_CALL
+            + KeyRangeLeaseSettings.ON_ITS_WAY;
   }
 
   /** The first grants: equal parts of the keys by slots, zones in turn. */
   private void found(String service, long now) {
-    List<KeeperHost.Worker> workers =
-        host.workers(service).stream().filter(KeeperHost.Worker::inService).toList();
+    List<KeyRangeRuntime.Worker> workers =
+        host.workers(service).stream().filter(KeyRangeRuntime.Worker::inService).toList();
     Set<String> names = new HashSet<>();
     workers.forEach(w -> names.add(w.instance()));
     if (workers.isEmpty() || !names.equals(seen.get(service))) {
@@ -156,19 +159,19 @@
     if (now - seenAt.get(service) < SETTLED || !mayMove(now)) {
       return;
     }
-    double slots = workers.stream().mapToInt(KeeperHost.Worker::slots).sum();
+    double slots = workers.stream().mapToInt(KeyRangeRuntime.Worker::slots).sum();
     double at = 0;
     int from = 0;
-    for (KeeperHost.Worker w : workers) {
+    for (KeyRangeRuntime.Worker w : workers) {
       at += w.slots();
       int next = (int) Math.round(at / slots * (KeyRange.LAST_KEY + 1));
       if (next <= from) {
         continue;
       }
-      Lease l =
-          new Lease(
+      KeyRangeLease l =
+          new KeyRangeLease(
               new KeyRange(
-                  service, from, w.instance(), w.address(), ++topFence, RangeState.GRANTING));
+                  service, from, w.instance(), w.address(), ++topFence, KeyRangeState.GRANTING));
       ranges(service).put(from, l);
       write(l, () -> grant(l));
       from = next;
@@ -176,18 +179,18 @@
     host.event("event=keys_divided service=" + service + " workers=" + workers.size());
   }
 
-  private void step(Lease l, long now) {
+  private void step(KeyRangeLease l, long now) {
     if (l.writing) {
       return;
     }
-    KeeperHost.Worker w = host.worker(l.owner);
+    KeyRangeRuntime.Worker w = host.worker(l.owner);
     boolean alive = w != null && w.alive();
-    if (!alive && l.state != RangeState.EXPIRING) {
+    if (!alive && l.state != KeyRangeState.EXPIRING) {
       if (l.calls == 0 && w != null && w.surelyOver()) {
         // Another life at its address: nobody holds these keys.
         l.heldUntil = 0;
       }
-      to(l, RangeState.EXPIRING, () -> {});
+      to(l, KeyRangeState.EXPIRING, () -> {});
       return;
     }
     switch (l.state) {
@@ -203,7 +206,7 @@
       case RELEASING -> {
         if (l.quiet()
             && now >= l.renewAt
-            && now - l.lostAt > HoldTerms.ON_ITS_WAY
+            && now - l.lostAt > KeyRangeLeaseSettings.ON_ITS_WAY
             && mayMove(now)) {
           askBack(l);
         }
@@ -214,7 +217,7 @@
       case EXPIRING -> {
         if (alive && w.inService()) {
           // It was only silent.
-          to(l, RangeState.GRANTING, () -> grant(l));
+          to(l, KeyRangeState.GRANTING, () -> grant(l));
         } else if (w != null && w.surelyOver() && l.calls == 0
             || l.calls == 0 && now > l.heldUntil) {
           if (mayMove(now)) {
@@ -228,15 +231,15 @@
   /**
    * Whether it is of the table that this node keeps now; one of a time before must write nothing.
    */
-  private boolean known(Lease l) {
+  private boolean known(KeyRangeLease l) {
     return ranges(l.service).get(l.from) == l;
   }
 
-  private void write(Lease l, Runnable then) {
+  private void write(KeyRangeLease l, Runnable then) {
     l.writing = true;
     l.since = host.now();
     host.assign(
-        l.range().toFlag("assign"),
+        l.range().toWireRecord("assign"),
         () -> {
           l.writing = false;
           if (known(l)) {
@@ -245,14 +248,14 @@
         });
   }
 
-  private void to(Lease l, RangeState s, Runnable then) {
+  private void to(KeyRangeLease l, KeyRangeState s, Runnable then) {
     l.state = s;
     write(l, then);
   }
 
   // ----------------------------------------------------------------- calls
 
-  private String body(Lease l, boolean grant) {
+  private String body(KeyRangeLease l, boolean grant) {
     JsonObject o = new JsonObject();
     o.addProperty("source_revision", l.from);
     o.addProperty("target_revision", last(l));
@@ -267,10 +270,10 @@
   }
 
   /** Grants or renews: the same call. What is written is durable by now. */
-  private void grant(Lease l) {
+  private void grant(KeyRangeLease l) {
     if (!host.authority()
         || l.writing
-        || l.state != RangeState.GRANTING && l.state != RangeState.HELD) {
+        || l.state != KeyRangeState.GRANTING && l.state != KeyRangeState.HELD) {
       return;
     }
     calls++;
@@ -281,7 +284,7 @@
         l.owner,
         "/-/grant",
         body(l, true),
-        HoldTerms.GRANT_CALL,
+        KeyRangeLeaseSettings.GRANT_CALL,
         a -> {
           long now = host.now();
           l.calls--;
@@ -292,9 +295,9 @@
             l.heldUntil = Math.max(l.heldUntil, now + terms.longest());
             // A little sooner or later each time, so that renewals spread.
             l.renewAt = now + terms.renewal() * 85 / 100 + host.random(terms.renewal() * 3 / 10);
-            if (l.state == RangeState.GRANTING && !l.writing) {
+            if (l.state == KeyRangeState.GRANTING && !l.writing) {
               l.token = null;
-              to(l, RangeState.HELD, () -> {});
+              to(l, KeyRangeState.HELD, () -> {});
             }
             return;
           }
@@ -313,33 +316,33 @@
                     + l.fence);
             l.fence = Math.max(topFence, l.fence) + 1;
             topFence = l.fence;
-            to(l, RangeState.GRANTING, () -> grant(l));
+            to(l, KeyRangeState.GRANTING, () -> grant(l));
           }
         });
   }
 
   /** Takes a range from its owner: word goes to the nodes first, then the owner is asked. */
-  void release(Lease l) {
+  void release(KeyRangeLease l) {
     l.renewAt = host.now() + WORD_FIRST;
     to(
         l,
-        RangeState.RELEASING,
+        KeyRangeState.RELEASING,
         () -> {
           l.renewAt = host.now() + WORD_FIRST;
           host.after(
               WORD_FIRST,
               () -> {
                 if (known(l)
-                    && l.state == RangeState.RELEASING
+                    && l.state == KeyRangeState.RELEASING
                     && l.quiet()
-                    && host.now() - l.lostAt > HoldTerms.ON_ITS_WAY) {
+                    && host.now() - l.lostAt > KeyRangeLeaseSettings.ON_ITS_WAY) {
                   askBack(l);
                 }
               });
         });
   }
 
-  private void askBack(Lease l) {
+  private void askBack(KeyRangeLease l) {
     if (!host.authority()) {
       return;
     }
@@ -357,15 +360,15 @@
             return;
           }
           l.renewAt = host.now() + RELEASE_AGAIN;
-          if (a.status() == 200 && l.state == RangeState.RELEASING && !l.writing) {
+          if (a.status() == 200 && l.state == KeyRangeState.RELEASING && !l.writing) {
             pass(l, a.token());
           }
         });
   }
 
   /** Nobody holds the range: it goes to the worker with the most room. */
-  private void pass(Lease l, String token) {
-    KeeperHost.Worker w = balancer.receiver(l);
+  private void pass(KeyRangeLease l, String token) {
+    KeyRangeRuntime.Worker w = balancer.receiver(l);
     if (w == null || !host.authority()) {
       return;
     }
@@ -376,7 +379,7 @@
     l.heldUntil = 0;
     l.lostAt = Long.MIN_VALUE / 2;
     l.movedAt = host.now();
-    to(l, RangeState.GRANTING, () -> grant(l));
+    to(l, KeyRangeState.GRANTING, () -> grant(l));
   }
 
   // ------------------------------------------------------------- dividing
@@ -385,33 +388,33 @@
    * Cuts a piece out of a held range, so that it can go elsewhere: what stays keeps its owner and
    * fence. Each step that is written leaves a whole table, whichever of them is the last to last.
    */
-  Lease cut(Lease l, int from, int to) {
-    if (l.state != RangeState.HELD || !l.quiet() || from < l.from || to > last(l)) {
+  KeyRangeLease cut(KeyRangeLease l, int from, int to) {
+    if (l.state != KeyRangeState.HELD || !l.quiet() || from < l.from || to > last(l)) {
       return null;
     }
     if (to < last(l)) {
-      Lease rest = l.from(to + 1);
+      KeyRangeLease rest = l.from(to + 1);
       ranges(l.service).put(rest.from, rest);
       write(rest, () -> {});
     }
     if (from == l.from) {
       return l;
     }
-    Lease piece = l.from(from);
+    KeyRangeLease piece = l.from(from);
     ranges(l.service).put(piece.from, piece);
     return piece;
   }
 
   /** Joins a held range with the one after it, if one worker holds both. */
-  boolean join(Lease l) {
-    Map.Entry<Integer, Lease> e = ranges(l.service).higherEntry(l.from);
+  boolean join(KeyRangeLease l) {
+    Map.Entry<Integer, KeyRangeLease> e = ranges(l.service).higherEntry(l.from);
     if (e == null) {
       return false;
     }
-    Lease r = e.getValue();
+    KeyRangeLease r = e.getValue();
     if (!l.owner.equals(r.owner)
-        || l.state != RangeState.HELD
-        || r.state != RangeState.HELD
+        || l.state != KeyRangeState.HELD
+        || r.state != KeyRangeState.HELD
         || !l.quiet()
         || !r.quiet()) {
       return false;
@@ -426,7 +429,7 @@
         () -> {
           ranges(l.service).remove(r.from);
           host.assign(
-              new Flag("assign")
+              new WireRecord("assign")
                   .with("key", KeyRange.key(r.service, r.from))
                   .with("service", r.service)
                   .with("from", r.from)
@@ -437,17 +440,17 @@
       drop.run();
     } else {
       l.fence = fence;
-      host.assign(l.range().toFlag("assign"), drop);
+      host.assign(l.range().toWireRecord("assign"), drop);
     }
     return true;
   }
 
   /** For the operators: each service's ranges and states. */
-  public List<Flag> status() {
-    List<Flag> out = new ArrayList<>();
+  public List<WireRecord> status() {
+    List<WireRecord> out = new ArrayList<>();
     services.forEach(
         (s, all) -> {
-          Map<RangeState, Integer> n = new HashMap<>();
+          Map<KeyRangeState, Integer> n = new HashMap<>();
           Set<String> owners = new HashSet<>();
           all.values()
               .forEach(
@@ -456,14 +459,14 @@
                     owners.add(l.owner);
                   });
           out.add(
-              new Flag("keys")
+              new WireRecord("keys")
                   .with("service", s)
                   .with("ranges", all.size())
                   .with("owners", owners.size())
-                  .with("held", n.getOrDefault(RangeState.HELD, 0))
-                  .with("granting", n.getOrDefault(RangeState.GRANTING, 0))
-                  .with("releasing", n.getOrDefault(RangeState.RELEASING, 0))
-                  .with("expiring", n.getOrDefault(RangeState.EXPIRING, 0))
+                  .with("held", n.getOrDefault(KeyRangeState.HELD, 0))
+                  .with("granting", n.getOrDefault(KeyRangeState.GRANTING, 0))
+                  .with("releasing", n.getOrDefault(KeyRangeState.RELEASING, 0))
+                  .with("expiring", n.getOrDefault(KeyRangeState.EXPIRING, 0))
                   .with("fence", topFence));
         });
     return out;
--- a/src/main/java/org/otterpond/keys/KeeperHost.java
+++ b/src/main/java/org/otterpond/keyrange/KeyRangeRuntime.java
@@ -1,11 +1,11 @@
-package org.otterpond.keys;
+package org.otterpond.keyrange;
 
 import java.util.List;
 import java.util.function.Consumer;
-import org.otterpond.signal.Flag;
+import org.otterpond.protocol.WireRecord;
 
 /** Everything the keeper of the key ranges may do to the world. */
-public interface KeeperHost {
+public interface KeyRangeRuntime {
   long now();
 
   void after(long delayMicros, Runnable task);
@@ -14,7 +14,7 @@
    * Writes to the core's group; the task runs once it is durable there. False if this node does not
    * lead.
    */
-  boolean assign(Flag entry, Runnable durable);
+  boolean assign(WireRecord entry, Runnable durable);
 
   /** Whether this node leads and nobody else can. */
   boolean authority();
--- a/src/main/java/org/otterpond/keys/RangeState.java
+++ b/src/main/java/org/otterpond/keyrange/KeyRangeState.java
@@ -1,7 +1,7 @@
-package org.otterpond.keys;
+package org.otterpond.keyrange;
 
 /** What is under way with a range of keys. */
-public enum RangeState {
+public enum KeyRangeState {
   /** The owner is written; its grant may not have arrived yet. */
   GRANTING,
   /** The owner has the grant. */
--- a/src/main/java/org/otterpond/keys/RangeTable.java
+++ b/src/main/java/org/otterpond/keyrange/KeyRangeTable.java
@@ -1,19 +1,19 @@
-package org.otterpond.keys;
+package org.otterpond.keyrange;
 
 import java.util.HashMap;
 import java.util.Map;
 import java.util.TreeMap;
-import org.otterpond.signal.Flag;
+import org.otterpond.protocol.WireRecord;
 
 /** The ranges of all services, as a node knows them. */
-public final class RangeTable {
+public final class KeyRangeTable {
   private final Map<String, TreeMap<Integer, KeyRange>> services = new HashMap<>();
 
   /**
    * Takes what was written under a key; the service whose ranges changed, or null if it is about
    * none.
    */
-  public String take(Flag entry) {
+  public String take(WireRecord entry) {
     if (!entry.text("key").startsWith(KeyRange.PREFIX)) {
       return null;
     }
--- a/src/main/java/org/otterpond/message/Message.java
+++ b/src/main/java/org/otterpond/messaging/Message.java
@@ -1,8 +1,8 @@
-package org.otterpond.message;
+package org.otterpond.messaging;
 
 import java.util.ArrayList;
 import java.util.List;
-import org.otterpond.signal.Flag;
+import org.otterpond.protocol.WireRecord;
 
 /** One message as the index in memory has it; method, headers and bytes stand on the disk. */
 public final class Message {
@@ -34,7 +34,7 @@
   long place;
 
   /** The whole of it, while there is room in memory. */
-  Flag whole;
+  WireRecord whole;
 
   /** The courier has it; so it is offered once at a time. */
   boolean offered;
@@ -42,7 +42,7 @@
   /** Its end is on its way to the replicas. */
   boolean ending;
 
-  Message(Flag f, long now) {
+  Message(WireRecord f, long now) {
     id = f.text("id");
     tenant = f.text("tenant");
     orderKey = f.text("order");
@@ -109,9 +109,9 @@
   }
 
   /** As it goes to another replica, with times as what is left of them. */
-  Flag piece(Flag stored, long now) {
-    Flag f =
-        new Flag("message")
+  WireRecord piece(WireRecord stored, long now) {
+    WireRecord f =
+        new WireRecord("message")
             .with("id", id)
             .with("tenant", tenant)
             .with("order", orderKey)
@@ -135,7 +135,7 @@
   }
 
   /** The headers as stored: name, value, name, value. */
-  public static List<String> headers(Flag whole) {
+  public static List<String> headers(WireRecord whole) {
     List<String> out = new ArrayList<>();
     whole.list("headers").forEach(o -> out.add((String) o));
     return out;
--- a/src/main/java/org/otterpond/message/BodyCache.java
+++ b/src/main/java/org/otterpond/messaging/MessageBodyCache.java
@@ -1,24 +1,24 @@
-package org.otterpond.message;
+package org.otterpond.messaging;
 
 import java.util.ArrayDeque;
-import org.otterpond.signal.Flag;
+import org.otterpond.protocol.WireRecord;
 
 /**
  * The newest messages of a node in memory, up to so many bytes; the others are read back from the
  * disk.
  */
-final class BodyCache {
+final class MessageBodyCache {
   private static final int OVERHEAD = 1_000;
 
   private final long most;
   private long held;
   private final ArrayDeque<Message> kept = new ArrayDeque<>();
 
-  BodyCache(long most) {
+  MessageBodyCache(long most) {
     this.most = most;
   }
 
-  void keep(Message m, Flag whole) {
+  void keep(Message m, WireRecord whole) {
     m.whole = whole;
     held += size(whole);
     kept.addLast(m);
@@ -35,7 +35,7 @@
     }
   }
 
-  private static long size(Flag whole) {
+  private static long size(WireRecord whole) {
     byte[] b = whole.bytes("body");
     return OVERHEAD + (b == null ? 0 : b.length);
   }
--- a/src/main/java/org/otterpond/cargo/Dispatcher.java
+++ b/src/main/java/org/otterpond/messaging/MessageDispatcher.java
@@ -1,4 +1,4 @@
-package org.otterpond.cargo;
+package org.otterpond.messaging;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -11,25 +11,26 @@
 import java.util.Set;
 import java.util.concurrent.ThreadLocalRandom;
 import java.util.function.Consumer;
-import org.otterpond.chart.Configuration;
-import org.otterpond.chart.Route;
-import org.otterpond.chart.Service;
-import org.otterpond.chart.Settings;
-import org.otterpond.harbour.Chandlery;
-import org.otterpond.harbour.HarbourNode;
-import org.otterpond.harbour.Shore;
-import org.otterpond.harbour.Stores;
-import org.otterpond.harbour.Vessel;
-import org.otterpond.harbour.VesselState;
-import org.otterpond.message.Courier;
-import org.otterpond.message.Depot;
-import org.otterpond.message.Message;
-import org.otterpond.message.MessageQueue;
-import org.otterpond.quay.Missive;
-import org.otterpond.quay.Quay;
-import org.otterpond.quay.Reception;
-import org.otterpond.quay.Tender;
-import org.otterpond.signal.Flag;
+import org.otterpond.config.GatewayConfiguration;
+import org.otterpond.config.NodeSettings;
+import org.otterpond.config.Route;
+import org.otterpond.config.Service;
+import org.otterpond.control.agent.ControlPlaneAgent;
+import org.otterpond.control.agent.QuotaCache;
+import org.otterpond.control.primary.DataPlane;
+import org.otterpond.control.primary.QuotaOwner;
+import org.otterpond.control.state.WorkerInstance;
+import org.otterpond.control.state.WorkerState;
+import org.otterpond.net.EventLoop;
+import org.otterpond.net.HttpMessage;
+import org.otterpond.net.ResponseListener;
+import org.otterpond.net.WorkerConnection;
+import org.otterpond.protocol.WireRecord;
+import org.otterpond.proxy.ProxyHandler;
+import org.otterpond.proxy.ProxyMetrics;
+import org.otterpond.proxy.ServiceDirectory;
+import org.otterpond.proxy.ServiceEndpoints;
+import org.otterpond.proxy.WorkerEndpoint;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -37,8 +38,8 @@
  * Delivers messages: a lane for each service, so that none holds up another; workers picked as for
  * requests.
  */
-public final class Dispatcher implements Courier, Shore {
-  private static final Logger LOG = LoggerFactory.getLogger(Dispatcher.class);
+public final class MessageDispatcher implements DeliveryListener, DataPlane {
+  private static final Logger LOG = LoggerFactory.getLogger(MessageDispatcher.class);
   private static final String FIXED = "fixed:";
   private static final int FIXED_SLOTS = 32;
   private static final long CONNECT = 300_000;
@@ -52,26 +53,26 @@
   private static final long FULL_SHUN = 60_000;
   private static final int WANTS = 6;
 
-  private final Quay quay;
+  private final EventLoop eventLoop;
   private final Random random = new Random(ThreadLocalRandom.current().nextLong());
-  private final Fairways fairways;
-  private final Tally tally;
-  private Depot depot;
-  private HarbourNode node;
-  private Stores stores;
-  private Configuration configuration;
+  private final ServiceDirectory services;
+  private final ProxyMetrics tally;
+  private MessageStore store;
+  private ControlPlaneAgent node;
+  private QuotaCache stores;
+  private GatewayConfiguration configuration;
   private int callers = 1;
   private final Map<String, Lane> lanes = new HashMap<>();
   private final List<Delivery> unplaced = new ArrayList<>();
-  private final Map<MessageQueue, Integer> underWay = new HashMap<>();
-  private final Map<MessageQueue, Runnable> quieting = new HashMap<>();
+  private final Map<MessagePartition, Integer> underWay = new HashMap<>();
+  private final Map<MessagePartition, Runnable> quieting = new HashMap<>();
   private final Map<String, Integer> pauses = new HashMap<>();
   private final Set<String> fixed = new HashSet<>();
 
-  private record Delivery(MessageQueue queue, Message message, int priority, long at) {}
+  private record Delivery(MessagePartition queue, Message message, int priority, long at) {}
 
   private static final class Lane {
-    final Fairway fairway;
+    final ServiceEndpoints endpoints;
     final PriorityQueue<Delivery> waiting =
         new PriorityQueue<>(
             (a, b) ->
@@ -86,29 +87,30 @@
     int wants;
     boolean pumpDue;
 
-    Lane(Fairway fairway) {
-      this.fairway = fairway;
+    Lane(ServiceEndpoints endpoints) {
+      this.endpoints = endpoints;
     }
   }
 
-  public Dispatcher(Quay quay, Settings settings, Tally tally) {
-    this.quay = quay;
+  public MessageDispatcher(EventLoop eventLoop, NodeSettings settings, ProxyMetrics tally) {
+    this.eventLoop = eventLoop;
     this.tally = tally;
-    this.fairways = new Fairways(quay, settings, random, f -> pumpSoon(lane(f.name), 0));
+    this.services =
+        new ServiceDirectory(eventLoop, settings, random, f -> pumpSoon(lane(f.name), 0));
   }
 
-  public void fit(HarbourNode control, Depot store) {
+  public void fit(ControlPlaneAgent control, MessageStore messageStore) {
     node = control;
     stores = control.stores();
-    depot = store;
-    depot.fit(control);
+    store = messageStore;
+    store.fit(control);
   }
 
   private Lane lane(String service) {
     return lanes.computeIfAbsent(
         service,
         s -> {
-          Lane l = new Lane(fairways.of(s));
+          Lane l = new Lane(services.of(s));
           settle(l, s);
           return l;
         });
@@ -117,7 +119,7 @@
   // ------------------------------------------------------------------ news
 
   @Override
-  public void configured(Configuration c) {
+  public void configured(GatewayConfiguration c) {
     configuration = c;
     Set<String> now = new HashSet<>();
     for (Service s : c.services().values()) {
@@ -125,7 +127,7 @@
         String id = FIXED + s.name() + "@" + s.fixedEndpoint();
         now.add(id);
         if (fixed.add(id)) {
-          fairways.worker(endpoint(id, s, VesselState.IN_SERVICE));
+          services.worker(endpoint(id, s, WorkerState.IN_SERVICE));
         }
       }
     }
@@ -135,15 +137,15 @@
             return false;
           }
           String service = id.substring(FIXED.length(), id.lastIndexOf('@'));
-          fairways.worker(
-              new Vessel(
+          services.worker(
+              new WorkerInstance(
                   id,
                   service,
                   id.substring(id.lastIndexOf('@') + 1),
                   "-",
                   "-",
                   1,
-                  VesselState.GONE,
+                  WorkerState.GONE,
                   0,
                   0));
           return true;
@@ -159,63 +161,63 @@
               again.addAll(l.waiting);
               l.waiting.clear();
             });
-    quay.after(0, () -> again.forEach(this::place));
+    eventLoop.after(0, () -> again.forEach(this::place));
   }
 
-  private Vessel endpoint(String id, Service s, VesselState state) {
-    return new Vessel(id, s.name(), s.fixedEndpoint(), "-", "-", FIXED_SLOTS, state, 0, 0);
+  private WorkerInstance endpoint(String id, Service s, WorkerState state) {
+    return new WorkerInstance(id, s.name(), s.fixedEndpoint(), "-", "-", FIXED_SLOTS, state, 0, 0);
   }
 
   private void settle(Lane l, String service) {
     Service s = configuration == null ? null : configuration.services().get(service);
-    l.ceiling = s == null || s.ratePerSecond() <= 0 ? null : Chandlery.ceilingOf(service);
-    l.fairway.connections(s == null ? Integer.MAX_VALUE : s.maxConnections() / callers);
+    l.ceiling = s == null || s.ratePerSecond() <= 0 ? null : QuotaOwner.ceilingOf(service);
+    l.endpoints.connections(s == null ? Integer.MAX_VALUE : s.maxConnections() / callers);
   }
 
   @Override
-  public void worker(Vessel v) {
-    fairways.worker(v);
+  public void worker(WorkerInstance v) {
+    services.worker(v);
   }
 
   @Override
   public void fleet(Map<String, Integer> nodesInZone, int rank) {
     callers = Math.max(1, nodesInZone.values().stream().mapToInt(Integer::intValue).sum());
-    fairways.fleet(nodesInZone, rank);
+    services.fleet(nodesInZone, rank);
     lanes.forEach((name, l) -> settle(l, name));
   }
 
   @Override
-  public void assigned(Flag entry) {
-    depot.assigned(entry);
+  public void assigned(WireRecord entry) {
+    store.assigned(entry);
   }
 
   @Override
-  public void message(String from, Flag f, Consumer<Flag> reply) {
-    depot.message(from, f, reply);
+  public void message(String from, WireRecord f, Consumer<WireRecord> reply) {
+    store.message(from, f, reply);
   }
 
   @Override
-  public Flag figures() {
-    Flag f = new Flag("figures").with("in_flight", open());
-    depot.figures().forEach(f::with);
+  public WireRecord figures() {
+    WireRecord f = new WireRecord("figures").with("in_flight", open());
+    store.figures().forEach(f::with);
     return f;
   }
 
   @Override
   public void peerLost(String address) {
-    depot.peerLost(address);
+    store.peerLost(address);
   }
 
   @Override
-  public Flag outcome(String key, String token) {
+  public WireRecord outcome(String key, String token) {
     return null;
   }
 
   // ---------------------------------------------------------------- placing
 
   @Override
-  public void ready(MessageQueue queue, Message m) {
-    place(new Delivery(queue, m, 0, Quay.now()));
+  public void ready(MessagePartition queue, Message m) {
+    place(new Delivery(queue, m, 0, EventLoop.now()));
   }
 
   private Route route(Message m) {
@@ -235,7 +237,7 @@
     if (r == null) {
       // A version newer than the one that it was accepted under has dropped its route.
       LOG.info("event=message_dropped id={} cause=no_route", m.id());
-      depot.ended(d.queue(), m, Message.State.DEAD_LETTER, null);
+      store.ended(d.queue(), m, Message.State.DEAD_LETTER, null);
       return;
     }
     Lane l = lane(r.serviceFor((long) (random.nextDouble() * r.totalWeight())));
@@ -246,7 +248,7 @@
   private void pumpSoon(Lane l, long delay) {
     if (!l.pumpDue) {
       l.pumpDue = true;
-      quay.after(
+      eventLoop.after(
           delay,
           () -> {
             l.pumpDue = false;
@@ -262,8 +264,8 @@
         l.waiting.poll();
         continue;
       }
-      long now = Quay.now();
-      Hull h = l.fairway.pick(now, Set.of());
+      long now = EventLoop.now();
+      WorkerEndpoint h = l.endpoints.pick(now, Set.of());
       if (h == null) {
         pumpSoon(l, NO_ROOM);
         return;
@@ -286,7 +288,7 @@
     l.wants++;
     stores.want(
         l.ceiling,
-        new Stores.Taker() {
+        new QuotaCache.Taker() {
           private boolean done;
 
           @Override
@@ -305,7 +307,8 @@
           public void over(double retryAfter) {
             done = true;
             l.wants--;
-            quay.after((long) (1e6 * Math.max(0.01, Math.min(0.3, retryAfter))), () -> pump(l));
+            eventLoop.after(
+                (long) (1e6 * Math.max(0.01, Math.min(0.3, retryAfter))), () -> pump(l));
           }
         });
   }
@@ -316,7 +319,7 @@
       if (!d.queue().serving() || d.message().state() != Message.State.QUEUED) {
         continue;
       }
-      Hull h = l.fairway.pick(Quay.now(), Set.of());
+      WorkerEndpoint h = l.endpoints.pick(EventLoop.now(), Set.of());
       if (h == null) {
         l.waiting.add(d);
         break;
@@ -333,11 +336,11 @@
 
   // --------------------------------------------------------------- delivery
 
-  private void deliver(Lane l, Delivery d, Hull h, Route r) {
+  private void deliver(Lane l, Delivery d, WorkerEndpoint h, Route r) {
     Message m = d.message();
     long guard = r == null ? GUARD : r.guardMicros();
     int attempts = r == null ? 1 : r.maxAttempts();
-    h.took(Quay.now());
+    h.took(EventLoop.now());
     underWay.merge(d.queue(), 1, Integer::sum);
     d.queue()
         .whole(
@@ -345,7 +348,7 @@
             whole -> {
               if (whole == null
                   || !d.queue().serving()
-                  || h.vessel.state() != VesselState.IN_SERVICE) {
+                  || h.worker.state() != WorkerState.IN_SERVICE) {
                 over(l, d, h);
                 d.queue().later(m, whole == null ? UNREADABLE : 0);
                 return;
@@ -354,60 +357,61 @@
             });
   }
 
-  private void over(Lane l, Delivery d, Hull h) {
-    h.released(Quay.now());
-    MessageQueue q = d.queue();
+  private void over(Lane l, Delivery d, WorkerEndpoint h) {
+    h.released(EventLoop.now());
+    MessagePartition q = d.queue();
     if (underWay.merge(q, -1, Integer::sum) <= 0) {
       underWay.remove(q);
       Runnable quiet = quieting.remove(q);
       if (quiet != null) {
         // After what this delivery has to tell.
-        quay.after(0, quiet);
+        eventLoop.after(0, quiet);
       }
     }
     pumpSoon(l, 0);
   }
 
-  private void send(Lane l, Delivery d, Hull h, Flag whole, long guard, int attempts) {
+  private void send(
+      Lane l, Delivery d, WorkerEndpoint h, WireRecord whole, long guard, int attempts) {
     Message m = d.message();
-    Missive request = Missive.request(whole.text("method"), m.target());
+    HttpMessage request = HttpMessage.request(whole.text("method"), m.target());
     List<String> headers = Message.headers(whole);
     for (int i = 0; i + 1 < headers.size(); i += 2) {
       request.header(headers.get(i), headers.get(i + 1));
     }
-    request.header(Pilotage.TIME_LEFT, Long.toString(Math.max(1, guard / 1000)));
+    request.header(ProxyHandler.TIME_LEFT, Long.toString(Math.max(1, guard / 1000)));
     if (!h.id().startsWith(FIXED)) {
-      request.header(Pilotage.EXPECTED, h.id());
+      request.header(ProxyHandler.EXPECTED, h.id());
     }
-    request.header(Pilotage.TENANT, m.tenant());
+    request.header(ProxyHandler.TENANT, m.tenant());
     byte[] body = whole.bytes("body");
-    request.body(body == null ? Missive.EMPTY : body);
-    long sent = Quay.now();
+    request.body(body == null ? HttpMessage.EMPTY : body);
+    long sent = EventLoop.now();
     tally.forwarded.increment();
     boolean[] done = {false};
-    Tender[] tender = {null};
-    Quay.Timer timer =
-        quay.after(
+    WorkerConnection[] connection = {null};
+    EventLoop.Timer timer =
+        eventLoop.after(
             guard,
             () -> {
               if (!done[0]) {
                 done[0] = true;
-                if (tender[0] != null) {
-                  tender[0].abandon();
+                if (connection[0] != null) {
+                  connection[0].abandon();
                 }
                 over(l, d, h);
                 tally.timeouts.increment();
                 again(d, UNKNOWN);
               }
             });
-    tender[0] =
+    connection[0] =
         h.pool.send(
             request,
             Math.min(CONNECT, guard),
             Long.MAX_VALUE,
-            new Reception() {
+            new ResponseListener() {
               @Override
-              public void answered(Missive answer) {
+              public void answered(HttpMessage answer) {
                 if (!done[0]) {
                   done[0] = true;
                   timer.cancel();
@@ -421,7 +425,7 @@
                 if (!done[0]) {
                   done[0] = true;
                   timer.cancel();
-                  h.failed(Quay.now());
+                  h.failed(EventLoop.now());
                   tally.failures.increment();
                   again(d, written ? UNKNOWN : TURNED_AWAY);
                   over(l, d, h);
@@ -430,11 +434,12 @@
             });
   }
 
-  private void onAnswer(Lane l, Delivery d, Hull h, Missive answer, long sent, int attempts) {
+  private void onAnswer(
+      Lane l, Delivery d, WorkerEndpoint h, HttpMessage answer, long sent, int attempts) {
     Message m = d.message();
-    long now = Quay.now();
+    long now = EventLoop.now();
     int status = answer.status();
-    if (answer.first(Pilotage.NOT_EXECUTED) != null || status == 421) {
+    if (answer.first(ProxyHandler.NOT_EXECUTED) != null || status == 421) {
       tally.turnedAway.increment();
       if (status == 421) {
         h.failed(now);
@@ -445,20 +450,20 @@
       return;
     }
     h.worked(now);
-    l.fairway.pace.answered(now - sent);
-    if (status / 100 == 2 && answer.first(Pilotage.SEAL) != null) {
+    l.endpoints.pace.answered(now - sent);
+    if (status / 100 == 2 && answer.first(ProxyHandler.SEAL) != null) {
       tally.answered.increment();
       pauses.remove(m.id());
-      depot.ended(d.queue(), m, Message.State.COMPLETED, answer.first(Pilotage.SEAL));
+      store.ended(d.queue(), m, Message.State.COMPLETED, answer.first(ProxyHandler.SEAL));
     } else if (status == 422) {
       pauses.remove(m.id());
-      depot.ended(d.queue(), m, Message.State.DEAD_LETTER, null);
+      store.ended(d.queue(), m, Message.State.DEAD_LETTER, null);
     } else if (status == 500) {
-      depot.tried(d.queue(), m);
+      store.tried(d.queue(), m);
       if (m.attempts() >= attempts) {
         pauses.remove(m.id());
         LOG.info("event=message_dead id={} attempts={}", m.id(), m.attempts());
-        depot.ended(d.queue(), m, Message.State.DEAD_LETTER, null);
+        store.ended(d.queue(), m, Message.State.DEAD_LETTER, null);
       } else {
         again(d, FAILED);
       }
@@ -482,7 +487,7 @@
   }
 
   @Override
-  public void stop(MessageQueue queue, Runnable quiet) {
+  public void stop(MessagePartition queue, Runnable quiet) {
     for (Lane l : lanes.values()) {
       drop(l.waiting.iterator(), queue);
     }
@@ -494,7 +499,7 @@
     }
   }
 
-  private static void drop(Iterator<Delivery> it, MessageQueue queue) {
+  private static void drop(Iterator<Delivery> it, MessagePartition queue) {
     while (it.hasNext()) {
       Delivery d = it.next();
       if (d.queue() == queue) {
--- a/src/main/java/org/otterpond/cargo/Intake.java
+++ b/src/main/java/org/otterpond/messaging/MessageIngestHandler.java
@@ -1,4 +1,4 @@
-package org.otterpond.cargo;
+package org.otterpond.messaging;
 
 import com.google.common.hash.Hashing;
 import com.google.gson.JsonObject;
@@ -12,23 +12,25 @@
 import java.util.Random;
 import java.util.Set;
 import org.apache.hc.core5.http.Header;
-import org.otterpond.chart.Configuration;
-import org.otterpond.chart.Route;
-import org.otterpond.chart.Shipper;
-import org.otterpond.harbour.HarbourNode;
-import org.otterpond.harbour.Stores;
-import org.otterpond.quay.Call;
-import org.otterpond.quay.Missive;
-import org.otterpond.quay.Quay;
-import org.otterpond.quay.Replies;
-import org.otterpond.replica.GroupView;
-import org.otterpond.signal.Flag;
+import org.otterpond.config.GatewayConfiguration;
+import org.otterpond.config.Route;
+import org.otterpond.config.Tenant;
+import org.otterpond.control.agent.ControlPlaneAgent;
+import org.otterpond.control.agent.QuotaCache;
+import org.otterpond.net.EventLoop;
+import org.otterpond.net.GatewayResponses;
+import org.otterpond.net.HttpMessage;
+import org.otterpond.net.ServerExchange;
+import org.otterpond.protocol.WireRecord;
+import org.otterpond.proxy.ProxyHandler;
+import org.otterpond.proxy.ProxyMetrics;
+import org.otterpond.replication.GroupConfiguration;
 
 /**
  * Takes messages in: finds the partition, hands the message to its primary, answers 202 once all
  * replicas have it.
  */
-final class Intake {
+public final class MessageIngestHandler {
   static final String MESSAGE_ID = "X-Otterpond-Message-Id";
   private static final String ORDER = "X-Otterpond-Ordering-Key";
   private static final String NOT_BEFORE = "X-Otterpond-Not-Before";
@@ -45,22 +47,22 @@
   private static final long MOST_DELAY = 30L * 86_400 * 1_000_000;
   private static final double REFUSE_AT = 0.45;
 
-  private final Quay quay;
-  private final HarbourNode node;
-  private final Stores stores;
+  private final EventLoop eventLoop;
+  private final ControlPlaneAgent node;
+  private final QuotaCache stores;
   private final Random random;
   private final String life;
-  private final Tally tally;
-  private final Map<Integer, GroupView> partitions = new HashMap<>();
+  private final ProxyMetrics tally;
+  private final Map<Integer, GroupConfiguration> partitions = new HashMap<>();
   private int count;
   private long number;
   private final Set<Handover> inHand = new LinkedHashSet<>();
 
   /** One message on its way to its partition's primary. */
   private static final class Handover {
-    Call call;
+    ServerExchange call;
     int group;
-    Flag message;
+    WireRecord message;
     String tenant;
     boolean paid;
     long refuseAt;
@@ -73,8 +75,9 @@
     boolean done;
   }
 
-  Intake(Quay quay, HarbourNode node, Random random, long life, Tally tally) {
-    this.quay = quay;
+  public MessageIngestHandler(
+      EventLoop eventLoop, ControlPlaneAgent node, Random random, long life, ProxyMetrics tally) {
+    this.eventLoop = eventLoop;
     this.node = node;
     this.stores = node.stores();
     this.random = random;
@@ -82,46 +85,47 @@
     this.tally = tally;
   }
 
-  int open() {
+  public int open() {
     return inHand.size();
   }
 
-  void assigned(Flag entry) {
+  public void assigned(WireRecord entry) {
     if (entry.text("key").startsWith(PARTITION)) {
-      GroupView v = GroupView.of(entry);
+      GroupConfiguration v = GroupConfiguration.of(entry);
       partitions.put(v.group(), v);
       count = (int) entry.number("of");
     }
   }
 
   /** Whether a path asks for a message. */
-  static boolean asks(String path) {
+  public static boolean asks(String path) {
     return path.startsWith(STATE) || path.startsWith(BODY);
   }
 
   // ---------------------------------------------------------------- accept
 
-  void take(Call call, Route route, Shipper shipper, Configuration c) {
-    Missive r = call.request();
+  public void take(ServerExchange call, Route route, Tenant tenant, GatewayConfiguration c) {
+    HttpMessage r = call.request();
     String order = r.first(ORDER);
     if (route.ordered() && (order == null || order.isEmpty())) {
-      call.answer(Replies.problem(400, ORDER + ": missing on a route that keeps the order"));
+      call.answer(
+          GatewayResponses.problem(400, ORDER + ": missing on a route that keeps the order"));
       return;
     }
     long left;
     long delay;
     try {
-      left = Pilotage.timeLeft(r, DEFAULT_LEFT);
+      left = ProxyHandler.timeLeft(r, DEFAULT_LEFT);
       delay = delay(r);
     } catch (NumberFormatException e) {
-      call.answer(Replies.problem(400, e.getMessage()));
+      call.answer(GatewayResponses.problem(400, e.getMessage()));
       return;
     }
-    String operation = r.first(Pilotage.KEY);
-    String tenant = shipper == null ? null : shipper.name();
+    String operation = r.first(ProxyHandler.KEY);
+    String tenantName = tenant == null ? null : tenant.name();
     Handover h = new Handover();
     h.call = call;
-    h.tenant = tenant;
+    h.tenant = tenantName;
     h.deadline = call.receivedAt() + left - ANSWER_MARGIN;
     h.refuseAt = call.receivedAt() + (long) (left * REFUSE_AT);
     String own = life + "." + Long.toHexString(++number);
@@ -132,19 +136,20 @@
             : operation != null ? "operation " + operation : "id " + own;
     if (count == 0) {
       tally.refused.increment();
-      call.answer(Replies.unavailable("no partitions yet", 0.3));
+      call.answer(GatewayResponses.unavailable("no partitions yet", 0.3));
       return;
     }
     h.group =
         Math.floorMod(
             Hashing.murmur3_32_fixed()
-                .hashString((tenant == null ? "" : tenant) + "\n" + by, StandardCharsets.UTF_8)
+                .hashString(
+                    (tenantName == null ? "" : tenantName) + "\n" + by, StandardCharsets.UTF_8)
                 .asInt(),
             count);
     h.message =
-        new Flag("put")
+        new WireRecord("put")
             .with("id", h.group + "." + own)
-            .with("tenant", tenant)
+            .with("tenant", tenantName)
             .with("order", route.ordered() ? order : null)
             .with("op", operation)
             .with("host", r.first("Host").toLowerCase(Locale.ROOT))
@@ -156,14 +161,14 @@
             .with("keep", route.keepMicros() > 0 ? route.keepMicros() : KEEP)
             .with("cfg", c.revision());
     inHand.add(h);
-    if (shipper != null && shipper.limited()) {
-      pay(h, shipper);
+    if (tenant != null && tenant.limited()) {
+      pay(h, tenant);
     } else {
       hand(h);
     }
   }
 
-  private static long delay(Missive r) {
+  private static long delay(HttpMessage r) {
     String told = r.first(NOT_BEFORE);
     if (told == null) {
       return 0;
@@ -181,11 +186,11 @@
   }
 
   /** What goes along to the worker, as name, value, name, value. */
-  private static List<Object> headers(Missive r, boolean tenanted) {
-    Missive m = Missive.request(r.method(), r.target());
-    Pilotage.copyHeaders(r, m, true);
+  private static List<Object> headers(HttpMessage r, boolean tenanted) {
+    HttpMessage m = HttpMessage.request(r.method(), r.target());
+    ProxyHandler.copyHeaders(r, m, true);
     if (tenanted) {
-      m.headers().removeHeaders(Pilotage.AUTHORIZATION);
+      m.headers().removeHeaders(ProxyHandler.AUTHORIZATION);
     }
     List<Object> out = new ArrayList<>();
     for (Header h : m.headers().getHeaders()) {
@@ -195,9 +200,9 @@
     return out;
   }
 
-  private void pay(Handover h, Shipper shipper) {
-    Stores.Taker taker =
-        new Stores.Taker() {
+  private void pay(Handover h, Tenant tenant) {
+    QuotaCache.Taker taker =
+        new QuotaCache.Taker() {
           private boolean over;
 
           @Override
@@ -215,12 +220,12 @@
           public void over(double retryAfter) {
             over = true;
             tally.overQuota.increment();
-            finish(h, Replies.overQuota("the tenant's quota is used up", retryAfter));
+            finish(h, GatewayResponses.overQuota("the tenant's quota is used up", retryAfter));
           }
         };
-    stores.want(shipper.name(), taker);
-    quay.after(
-        h.refuseAt - Quay.now(),
+    stores.want(tenant.name(), taker);
+    eventLoop.after(
+        h.refuseAt - EventLoop.now(),
         () -> {
           if (taker.waits()) {
             refuse(h, "the quota's owner did not answer in time");
@@ -229,7 +234,7 @@
   }
 
   private void hand(Handover h) {
-    long now = Quay.now();
+    long now = EventLoop.now();
     if (h.done) {
       return;
     }
@@ -241,21 +246,21 @@
       refuse(h, "the partition has no primary now");
       return;
     }
-    GroupView v = partitions.get(h.group);
+    GroupConfiguration v = partitions.get(h.group);
     if (v == null) {
-      quay.after(AGAIN, () -> hand(h));
+      eventLoop.after(AGAIN, () -> hand(h));
       return;
     }
     h.asked = true;
-    String primary = GroupView.addressOf(v.primary());
+    String primary = GroupConfiguration.addressOf(v.primary());
     node.askNode(
         primary,
-        new Flag("m.put").with("group", h.group).with("message", h.message),
+        new WireRecord("m.put").with("group", h.group).with("message", h.message),
         Math.min(ASK, h.deadline - now),
         r -> answered(h, r));
   }
 
-  private void answered(Handover h, Flag r) {
+  private void answered(Handover h, WireRecord r) {
     h.asked = false;
     if (h.done) {
       return;
@@ -265,7 +270,7 @@
       tally.answered.increment();
       finish(
           h,
-          Missive.response(202)
+          HttpMessage.response(202)
               .header(MESSAGE_ID, r.text("taken"))
               .header("Content-Type", "application/json")
               .body("{}".getBytes(StandardCharsets.UTF_8)));
@@ -277,17 +282,17 @@
       refuse(h, "the partition takes no more now");
       return;
     }
-    if (Quay.now() + AGAIN >= h.deadline) {
+    if (EventLoop.now() + AGAIN >= h.deadline) {
       giveUp(h);
     } else {
-      quay.after(AGAIN, () -> hand(h));
+      eventLoop.after(AGAIN, () -> hand(h));
     }
   }
 
   private void giveUp(Handover h) {
     if (h.doubtful) {
       tally.timeouts.increment();
-      finish(h, Replies.problem(502, "whether the message was taken is not known"));
+      finish(h, GatewayResponses.problem(502, "whether the message was taken is not known"));
     } else {
       refuse(h, "the message could not be stored in time");
     }
@@ -296,10 +301,10 @@
   /** Promises that the message was not taken and never will be. */
   private void refuse(Handover h, String cause) {
     tally.refused.increment();
-    finish(h, Replies.unavailable(cause, 0.1 + 0.2 * random.nextDouble()));
+    finish(h, GatewayResponses.unavailable(cause, 0.1 + 0.2 * random.nextDouble()));
   }
 
-  private void finish(Handover h, Missive answer) {
+  private void finish(Handover h, HttpMessage answer) {
     if (h.done) {
       return;
     }
@@ -312,7 +317,7 @@
   }
 
   /** The node ends: whoever still waits gets an answer. */
-  void endAll() {
+  public void endAll() {
     for (Handover h : new ArrayList<>(inHand)) {
       h.doubtful |= h.asked;
       giveUp(h);
@@ -321,12 +326,12 @@
 
   // ------------------------------------------------------------- questions
 
-  void question(Call call, Shipper shipper) {
-    Missive r = call.request();
+  public void question(ServerExchange call, Tenant tenant) {
+    HttpMessage r = call.request();
     boolean body = r.path().startsWith(BODY);
     String id = r.path().substring((body ? BODY : STATE).length());
     if (!r.method().equals("GET")) {
-      call.answer(Replies.problem(405, "GET is wanted").header("Allow", "GET"));
+      call.answer(GatewayResponses.problem(405, "GET is wanted").header("Allow", "GET"));
       return;
     }
     int dot = id.indexOf('.');
@@ -337,35 +342,35 @@
       group = -1;
     }
     if (id.length() > 64 || !partitions.containsKey(group)) {
-      call.answer(Replies.problem(404, "no such message"));
+      call.answer(GatewayResponses.problem(404, "no such message"));
       return;
     }
-    Flag ask =
-        new Flag(body ? "m.body" : "m.state")
+    WireRecord ask =
+        new WireRecord(body ? "m.body" : "m.state")
             .with("group", group)
             .with("id", id)
-            .with("tenant", shipper == null ? null : shipper.name());
+            .with("tenant", tenant == null ? null : tenant.name());
     question(call, group, ask, call.receivedAt() + QUESTION);
   }
 
-  private void question(Call call, int group, Flag ask, long until) {
-    long now = Quay.now();
+  private void question(ServerExchange call, int group, WireRecord ask, long until) {
+    long now = EventLoop.now();
     if (now > until - AGAIN) {
-      call.answer(Replies.unavailable("the partition has no primary now", 0.2));
+      call.answer(GatewayResponses.unavailable("the partition has no primary now", 0.2));
       return;
     }
     node.askNode(
-        GroupView.addressOf(partitions.get(group).primary()),
+        GroupConfiguration.addressOf(partitions.get(group).primary()),
         ask,
         Math.min(QUESTION_ASK, until - now),
         a -> {
           if (a == null || a.has("no")) {
-            quay.after(AGAIN, () -> question(call, group, ask, until));
+            eventLoop.after(AGAIN, () -> question(call, group, ask, until));
           } else if (a.truth("unknown")) {
-            call.answer(Replies.problem(404, "no such message"));
+            call.answer(GatewayResponses.problem(404, "no such message"));
           } else if (a.has("body")) {
             call.answer(
-                Missive.response(200)
+                HttpMessage.response(200)
                     .header("Content-Type", "application/octet-stream")
                     .body(a.bytes("body")));
           } else {
@@ -374,7 +379,7 @@
             if (a.has("seal")) {
               o.addProperty("timestamp", a.text("seal"));
             }
-            call.answer(Replies.json(200, o.toString()));
+            call.answer(GatewayResponses.json(200, o.toString()));
           }
         });
   }
--- a/src/main/java/org/otterpond/message/MessageQueue.java
+++ b/src/main/java/org/otterpond/messaging/MessagePartition.java
@@ -1,4 +1,4 @@
-package org.otterpond.message;
+package org.otterpond.messaging;
 
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -10,22 +10,23 @@
 import java.util.PriorityQueue;
 import java.util.function.BooleanSupplier;
 import java.util.function.Consumer;
-import org.otterpond.replica.GroupHost;
-import org.otterpond.replica.StateMachine;
-import org.otterpond.signal.Flag;
+import org.otterpond.protocol.WireRecord;
+import org.otterpond.replication.ReplicaGroupRuntime;
+import org.otterpond.replication.StateMachine;
+import org.otterpond.storage.RecordReader;
 
 /**
  * The messages of one partition: which there are, in what order they may go, what became of them.
  * Replicated by the partition's group; only the primary's copy hands messages to the courier.
  */
-public final class MessageQueue implements StateMachine {
+public final class MessagePartition implements StateMachine {
   private static final int OLDEST_LOOK = 200;
 
-  private final GroupHost host;
-  private final Records records;
-  private final Courier courier;
+  private final ReplicaGroupRuntime host;
+  private final RecordReader records;
+  private final DeliveryListener delivery;
   private final BooleanSupplier leased;
-  private final BodyCache cache;
+  private final MessageBodyCache cache;
 
   /** How long the state of a message that has ended is told, and a repeat of it answered. */
   private final long endedKept;
@@ -41,17 +42,17 @@
   private int queued;
   private int dead;
 
-  MessageQueue(
-      GroupHost host,
-      Records records,
-      Courier courier,
-      BodyCache cache,
+  MessagePartition(
+      ReplicaGroupRuntime host,
+      RecordReader records,
+      DeliveryListener delivery,
+      MessageBodyCache cache,
       long endedKept,
       BooleanSupplier leased) {
     this.leased = leased;
     this.host = host;
     this.records = records;
-    this.courier = courier;
+    this.delivery = delivery;
     this.cache = cache;
     this.endedKept = endedKept;
   }
@@ -91,7 +92,7 @@
   // --------------------------------------------------------------- entries
 
   @Override
-  public void apply(Flag entry, long serial, long place) {
+  public void apply(WireRecord entry, long serial, long place) {
     switch (entry.kind()) {
       case "put" -> put(entry, serial, place);
       case "tried" -> {
@@ -105,7 +106,7 @@
     }
   }
 
-  private void put(Flag entry, long serial, long place) {
+  private void put(WireRecord entry, long serial, long place) {
     if (index.containsKey(entry.text("id"))) {
       return;
     }
@@ -148,7 +149,7 @@
     line.addAll(all);
   }
 
-  private void end(Flag entry, long at) {
+  private void end(WireRecord entry, long at) {
     Message m = index.get(entry.text("id"));
     if (m == null) {
       m = new Message(entry, host.now());
@@ -203,7 +204,7 @@
       return;
     }
     m.offered = true;
-    courier.ready(this, m);
+    delivery.ready(this, m);
   }
 
   private void timer() {
@@ -244,7 +245,7 @@
   }
 
   /** Reads the whole of a message, from memory or from the disk; null if it cannot be had. */
-  public void whole(Message m, Consumer<Flag> use) {
+  public void whole(Message m, Consumer<WireRecord> use) {
     if (m.whole != null) {
       use.accept(m.whole);
     } else if (m.place < 0) {
@@ -252,7 +253,9 @@
     } else {
       records.read(
           m.place,
-          r -> use.accept(r == null ? null : r.has("entry") ? r.flag("entry") : r.flag("piece")));
+          r ->
+              use.accept(
+                  r == null ? null : r.has("entry") ? r.nested("entry") : r.nested("piece")));
     }
   }
 
@@ -265,14 +268,14 @@
     if (is) {
       new ArrayList<>(index.values()).forEach(this::offer);
     } else {
-      courier.stop(this, () -> {});
+      delivery.stop(this, () -> {});
       delayed.clear();
     }
   }
 
   @Override
   public void quiesce(Runnable done) {
-    courier.stop(this, done);
+    delivery.stop(this, done);
   }
 
   // ------------------------------------------------------------------ time
@@ -314,11 +317,11 @@
   }
 
   @Override
-  public void export(Consumer<Flag> piece) {
+  public void export(Consumer<WireRecord> piece) {
     export(new ArrayList<>(index.values()).iterator(), piece);
   }
 
-  private void export(Iterator<Message> rest, Consumer<Flag> piece) {
+  private void export(Iterator<Message> rest, Consumer<WireRecord> piece) {
     while (rest.hasNext()) {
       Message m = rest.next();
       if (m.state == Message.State.COMPLETED || m.place < 0) {
@@ -347,7 +350,7 @@
   }
 
   @Override
-  public void load(Flag piece, long place) {
+  public void load(WireRecord piece, long place) {
     Message known = index.get(piece.text("id"));
     if (known != null) {
       known.attempts = Math.max(known.attempts, (int) piece.number("attempts"));
--- a/src/main/java/org/otterpond/message/Depot.java
+++ b/src/main/java/org/otterpond/messaging/MessageStore.java
@@ -1,4 +1,4 @@
-package org.otterpond.message;
+package org.otterpond.messaging;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -8,18 +8,19 @@
 import java.util.TreeMap;
 import java.util.function.Consumer;
 import java.util.function.LongConsumer;
-import org.otterpond.harbour.Deck;
-import org.otterpond.harbour.HarbourNode;
-import org.otterpond.replica.GroupHost;
-import org.otterpond.replica.GroupView;
-import org.otterpond.replica.ReplicaGroup;
-import org.otterpond.signal.Flag;
+import org.otterpond.control.agent.ControlPlaneAgent;
+import org.otterpond.protocol.WireRecord;
+import org.otterpond.replication.GroupConfiguration;
+import org.otterpond.replication.ReplicaGroup;
+import org.otterpond.replication.ReplicaGroupRuntime;
+import org.otterpond.runtime.NodeRuntime;
+import org.otterpond.storage.SegmentStore;
 
 /**
  * The message partitions of one machine: its replica groups, one journal, one beacon to each other
  * machine.
  */
-public final class Depot {
+public final class MessageStore {
   private static final String PARTITION = "partition:";
   private static final long EXPIRE = 500_000;
   private static final long CLEAN = 5_000_000;
@@ -27,14 +28,14 @@
   private static final long ASK_AGAIN = 200_000;
   private static final int MOST_PARKED = 2_000;
 
-  private final Deck deck;
+  private final NodeRuntime runtime;
   private final String me;
-  private final StoreDisk disk;
-  private final StoreTerms terms;
-  private final Courier courier;
-  private final BodyCache cache;
+  private final SegmentStore disk;
+  private final MessageStoreSettings terms;
+  private final DeliveryListener delivery;
+  private final MessageBodyCache cache;
   private final Map<Integer, Partition> partitions = new TreeMap<>();
-  private HarbourNode node;
+  private ControlPlaneAgent node;
   private long beaconed;
   private long expired;
   private long cleaned;
@@ -43,7 +44,7 @@
   private final Map<String, Beacon> beaconsSent = new HashMap<>();
 
   /** The newest list of groups that each machine has sent. */
-  private final Map<String, Flag> beaconsHeard = new HashMap<>();
+  private final Map<String, WireRecord> beaconsHeard = new HashMap<>();
 
   /** What one machine was last told of the groups that this one leads. */
   private static final class Beacon {
@@ -55,9 +56,9 @@
     boolean taken;
   }
 
-  private final class Partition implements GroupHost {
+  private final class Partition implements ReplicaGroupRuntime {
     final int id;
-    final MessageQueue queue;
+    final MessagePartition queue;
     final ReplicaGroup group;
 
     /** Operations whose first message is on its way to the replicas, by its name. */
@@ -69,43 +70,45 @@
     Partition(int id) {
       this.id = id;
       this.queue =
-          new MessageQueue(this, disk, courier, cache, terms.endedKept(), () -> serves(id));
+          new MessagePartition(this, disk, delivery, cache, terms.endedKept(), () -> serves(id));
       this.group = new ReplicaGroup(id, me, this, terms.times(), queue);
     }
 
     @Override
     public long now() {
-      return deck.now();
+      return runtime.now();
     }
 
     @Override
-    public void send(String member, Flag message) {
-      deck.send(GroupView.addressOf(member), message.with("to", member));
+    public void send(String member, WireRecord message) {
+      runtime.send(GroupConfiguration.addressOf(member), message.with("to", member));
     }
 
     @Override
-    public void journal(Flag record, LongConsumer done) {
+    public void journal(WireRecord record, LongConsumer done) {
       disk.append(record, done);
     }
 
     @Override
     public void after(long delayMicros, Runnable task) {
-      deck.after(delayMicros, task);
+      runtime.after(delayMicros, task);
     }
 
     @Override
-    public void propose(GroupView next, Consumer<GroupView> outcome) {
+    public void propose(GroupConfiguration next, Consumer<GroupConfiguration> outcome) {
       node.ask(
-          new Flag("ask").with("op", "reconfigure").with("view", next.toFlag("view")),
+          new WireRecord("ask").with("op", "reconfigure").with("view", next.toWireRecord("view")),
           ASK,
           ASK_AGAIN,
-          r -> outcome.accept(r == null || !r.has("view") ? null : GroupView.of(r.flag("view"))));
+          r ->
+              outcome.accept(
+                  r == null || !r.has("view") ? null : GroupConfiguration.of(r.nested("view"))));
     }
 
     @Override
     public void candidateFailed(int group, String member) {
       node.ask(
-          new Flag("ask")
+          new WireRecord("ask")
               .with("op", "candidate-failed")
               .with("group", group)
               .with("member", member),
@@ -116,27 +119,27 @@
 
     @Override
     public void event(String line) {
-      deck.event(line);
+      runtime.event(line);
     }
   }
 
-  public Depot(
-      Deck deck,
+  public MessageStore(
+      NodeRuntime runtime,
       String disk,
       String address,
-      StoreDisk storage,
-      StoreTerms terms,
-      Courier courier) {
-    this.deck = deck;
-    this.me = GroupView.member(disk, address);
+      SegmentStore storage,
+      MessageStoreSettings terms,
+      DeliveryListener delivery) {
+    this.runtime = runtime;
+    this.me = GroupConfiguration.member(disk, address);
     this.disk = storage;
     this.terms = terms;
-    this.courier = courier;
-    this.cache = new BodyCache(terms.cacheBytes());
+    this.delivery = delivery;
+    this.cache = new MessageBodyCache(terms.cacheBytes());
   }
 
   /** The control side, through which the configuration manager is asked. */
-  public void fit(HarbourNode control) {
+  public void fit(ControlPlaneAgent control) {
     this.node = control;
   }
 
@@ -147,7 +150,7 @@
   // ----------------------------------------------------------------- start
 
   /** One record of the journal, in order. */
-  public void replay(Flag f, long place) {
+  public void replay(WireRecord f, long place) {
     if (f.has("group")) {
       partition((int) f.number("group")).group.replay(f, place);
     }
@@ -159,13 +162,13 @@
   }
 
   /** What a fresh segment must begin with, so that older ones can go. */
-  public List<Flag> journalHead() {
-    List<Flag> out = new ArrayList<>();
+  public List<WireRecord> journalHead() {
+    List<WireRecord> out = new ArrayList<>();
     partitions
         .values()
         .forEach(
             p -> {
-              Flag meta = p.group.meta();
+              WireRecord meta = p.group.meta();
               if (meta != null) {
                 out.add(meta);
               }
@@ -175,11 +178,11 @@
 
   // ------------------------------------------------------------------ news
 
-  public void assigned(Flag entry) {
+  public void assigned(WireRecord entry) {
     if (!entry.text("key").startsWith(PARTITION)) {
       return;
     }
-    GroupView v = GroupView.of(entry);
+    GroupConfiguration v = GroupConfiguration.of(entry);
     if (v.has(me) || partitions.containsKey(v.group())) {
       Partition p = partition(v.group());
       p.group.learn(v);
@@ -194,7 +197,7 @@
   }
 
   /** A message of another node; false if it is none for this part. */
-  public boolean message(String from, Flag f, Consumer<Flag> reply) {
+  public boolean message(String from, WireRecord f, Consumer<WireRecord> reply) {
     switch (f.kind()) {
       case "g.beacon" -> onBeacon(from, f);
       case "g.beaconed" -> onBeaconed(from, f);
@@ -220,7 +223,7 @@
   // --------------------------------------------------------------- beacons
 
   private void tick() {
-    long now = deck.now();
+    long now = runtime.now();
     if (now - beaconed >= terms.times().beacon()) {
       beaconed = now;
       beacons(now);
@@ -240,7 +243,7 @@
       cleaned = now;
       clean();
     }
-    deck.after(terms.times().beacon() / 3, this::tick);
+    runtime.after(terms.times().beacon() / 3, this::tick);
   }
 
   /**
@@ -254,7 +257,7 @@
         .values()
         .forEach(
             p -> {
-              GroupView v = p.group.view();
+              GroupConfiguration v = p.group.view();
               if (v == null || !v.primary().equals(me)) {
                 return;
               }
@@ -269,7 +272,7 @@
     byMember.forEach(
         (m, b) -> {
           Beacon last = beaconsSent.put(m, b);
-          Flag f = new Flag("g.beacon").with("to", m).with("at", now);
+          WireRecord f = new WireRecord("g.beacon").with("to", m).with("at", now);
           boolean same = last != null && last.taken && last.groups.equals(b.groups);
           b.number = same ? last.number : ++beaconNumber;
           b.taken = same;
@@ -288,24 +291,25 @@
           if (!points.isEmpty()) {
             f.with("points", points);
           }
-          deck.send(GroupView.addressOf(m), f);
+          runtime.send(GroupConfiguration.addressOf(m), f);
         });
   }
 
-  private void onBeacon(String from, Flag f) {
+  private void onBeacon(String from, WireRecord f) {
     if (!me.equals(f.text("to"))) {
       return;
     }
     if (f.has("groups")) {
       beaconsHeard.put(from, f);
     }
-    Flag list = beaconsHeard.get(from);
-    Flag answer = new Flag("g.beaconed").with("at", f.number("at")).with("n", f.number("n"));
+    WireRecord list = beaconsHeard.get(from);
+    WireRecord answer =
+        new WireRecord("g.beaconed").with("at", f.number("at")).with("n", f.number("n"));
     if (list == null
         || list.number("n") != f.number("n")
         || list.number("life") != f.number("life")) {
       // The list that it speaks of has not come here: it is asked for.
-      deck.send(from, answer.with("member", me).with("unknown", true));
+      runtime.send(from, answer.with("member", me).with("unknown", true));
       return;
     }
     Map<Integer, Long> points = new HashMap<>();
@@ -324,18 +328,19 @@
       }
       refused.add((long) id);
       if (p != null && p.group.view() != null && p.group.view().version() > version) {
-        deck.send(
+        runtime.send(
             from,
-            new Flag("g.view")
+            new WireRecord("g.view")
                 .with("to", list.text("from"))
                 .with("group", id)
-                .with("view", p.group.view().toFlag("view")));
+                .with("view", p.group.view().toWireRecord("view")));
       }
     }
-    deck.send(from, answer.with("member", me).with("refused", refused.isEmpty() ? null : refused));
+    runtime.send(
+        from, answer.with("member", me).with("refused", refused.isEmpty() ? null : refused));
   }
 
-  private void onBeaconed(String from, Flag f) {
+  private void onBeaconed(String from, WireRecord f) {
     Beacon b = beaconsSent.get(f.text("member"));
     if (b == null || b.number != f.number("n")) {
       return;
@@ -360,27 +365,27 @@
    * Takes a message. "taken" names it once all replicas hold it; "no" says that it was not taken
    * and is not held anywhere by this ask.
    */
-  private void put(Flag f, Consumer<Flag> reply) {
+  private void put(WireRecord f, Consumer<WireRecord> reply) {
     Partition p = partitions.get((int) f.number("group"));
     if (p == null || p.group.view() == null || !p.group.view().primary().equals(me)) {
-      reply.accept(new Flag("reply").with("no", "elsewhere"));
+      reply.accept(new WireRecord("reply").with("no", "elsewhere"));
       return;
     }
     if (!p.group.serving()) {
-      reply.accept(new Flag("reply").with("no", "not_serving"));
+      reply.accept(new WireRecord("reply").with("no", "not_serving"));
       return;
     }
     if (disk.nearlyFull() || p.group.parked() > MOST_PARKED) {
-      reply.accept(new Flag("reply").with("no", "full"));
+      reply.accept(new WireRecord("reply").with("no", "full"));
       return;
     }
-    Flag entry = f.flag("message");
+    WireRecord entry = f.nested("message");
     String id = entry.text("id");
     String operation =
         entry.has("op") ? Message.operationName(entry.text("tenant"), entry.text("op")) : null;
     Message before = operation == null ? null : p.queue.ofOperation(operation);
     if (before != null || p.queue.get(id) != null) {
-      reply.accept(new Flag("reply").with("taken", before != null ? before.id : id));
+      reply.accept(new WireRecord("reply").with("taken", before != null ? before.id : id));
       return;
     }
     String first = operation == null ? null : p.operations.get(operation);
@@ -389,7 +394,9 @@
     Consumer<Boolean> told =
         ok ->
             reply.accept(
-                ok ? new Flag("reply").with("taken", name) : new Flag("reply").with("no", "moved"));
+                ok
+                    ? new WireRecord("reply").with("taken", name)
+                    : new WireRecord("reply").with("no", "moved"));
     if (waiting != null) {
       waiting.add(told);
       return;
@@ -412,35 +419,35 @@
 
   // ------------------------------------------------------------- questions
 
-  private Message known(Flag f, Consumer<Flag> reply) {
+  private Message known(WireRecord f, Consumer<WireRecord> reply) {
     Partition p = partitions.get((int) f.number("group"));
     if (p == null || !p.group.serving()) {
-      reply.accept(new Flag("reply").with("no", "elsewhere"));
+      reply.accept(new WireRecord("reply").with("no", "elsewhere"));
       return null;
     }
     Message m = p.queue.get(f.text("id"));
     String tenant = f.text("tenant");
     if (m == null || (m.tenant == null ? tenant != null : !m.tenant.equals(tenant))) {
-      reply.accept(new Flag("reply").with("unknown", true));
+      reply.accept(new WireRecord("reply").with("unknown", true));
       return null;
     }
     return m;
   }
 
-  private void state(Flag f, Consumer<Flag> reply) {
+  private void state(WireRecord f, Consumer<WireRecord> reply) {
     Message m = known(f, reply);
     if (m != null) {
-      reply.accept(new Flag("reply").with("state", m.state.name()).with("seal", m.seal));
+      reply.accept(new WireRecord("reply").with("state", m.state.name()).with("seal", m.seal));
     }
   }
 
-  private void body(Flag f, Consumer<Flag> reply) {
+  private void body(WireRecord f, Consumer<WireRecord> reply) {
     Message m = known(f, reply);
     if (m == null) {
       return;
     }
     if (m.state == Message.State.COMPLETED) {
-      reply.accept(new Flag("reply").with("unknown", true));
+      reply.accept(new WireRecord("reply").with("unknown", true));
       return;
     }
     partitions
@@ -451,13 +458,13 @@
             w ->
                 reply.accept(
                     w == null
-                        ? new Flag("reply").with("no", "unreadable")
-                        : new Flag("reply").with("body", w.bytes("body"))));
+                        ? new WireRecord("reply").with("no", "unreadable")
+                        : new WireRecord("reply").with("body", w.bytes("body"))));
   }
 
   // -------------------------------------------------------------- outcomes
 
-  private Partition of(MessageQueue q) {
+  private Partition of(MessagePartition q) {
     for (Partition p : partitions.values()) {
       if (p.queue == q) {
         return p;
@@ -467,14 +474,14 @@
   }
 
   /** The message has ended; the next of its order may begin once all replicas know. */
-  public void ended(MessageQueue q, Message m, Message.State state, String seal) {
+  public void ended(MessagePartition q, Message m, Message.State state, String seal) {
     Partition p = of(q);
     if (p == null || q.get(m.id) != m || m.ending || m.state != Message.State.QUEUED) {
       return;
     }
     m.ending = true;
     p.group.update(
-        new Flag("end")
+        new WireRecord("end")
             .with("id", m.id)
             .with("state", state.name())
             .with("seal", seal)
@@ -489,12 +496,12 @@
   }
 
   /** A worker failed an attempt; it is counted on all replicas. */
-  public void tried(MessageQueue q, Message m) {
+  public void tried(MessagePartition q, Message m) {
     Partition p = of(q);
     m.attempts++;
     if (p != null && q.get(m.id) == m) {
       p.group.update(
-          new Flag("tried").with("id", m.id).with("attempts", m.attempts),
+          new WireRecord("tried").with("id", m.id).with("attempts", m.attempts),
           false,
           () -> {},
           () -> {});
@@ -535,9 +542,9 @@
                 one.run();
                 return;
               }
-              Flag piece = m.piece(w, deck.now());
+              WireRecord piece = m.piece(w, runtime.now());
               disk.append(
-                  new Flag("piece").with("group", p.id).with("piece", piece),
+                  new WireRecord("piece").with("group", p.id).with("piece", piece),
                   place -> {
                     good[0] &= place >= 0;
                     if (place >= 0 && p.queue.get(m.id) == m) {
@@ -586,7 +593,7 @@
    */
   public Map<String, Long> figures() {
     Map<String, Long> out = new LinkedHashMap<>();
-    long now = deck.now();
+    long now = runtime.now();
     long led = 0;
     long queued = 0;
     long dead = 0;
--- a/src/main/java/org/otterpond/message/StoreTerms.java
+++ b/src/main/java/org/otterpond/messaging/MessageStoreSettings.java
@@ -1,6 +1,6 @@
-package org.otterpond.message;
+package org.otterpond.messaging;
 
-import org.otterpond.replica.GroupTimes;
+import org.otterpond.replication.ReplicaGroupTimeouts;
 
 /**
  * What the deployment demands of a machine that stores messages.
@@ -9,8 +9,8 @@
  * @param keyWindowMicros how long a repeat of an accepted operation gets the first one's name
  * @param cacheBytes how much of the newest messages is kept in memory
  */
-public record StoreTerms(
-    long statusMicros, long keyWindowMicros, long cacheBytes, GroupTimes times) {
+public record MessageStoreSettings(
+    long statusMicros, long keyWindowMicros, long cacheBytes, ReplicaGroupTimeouts times) {
   long endedKept() {
     return Math.max(statusMicros, keyWindowMicros) + 10_000_000;
   }
--- a/src/main/java/org/otterpond/quay/Gangway.java
+++ b/src/main/java/org/otterpond/net/ClientConnection.java
@@ -1,27 +1,27 @@
-package org.otterpond.quay;
+package org.otterpond.net;
 
 import java.io.IOException;
 import java.net.StandardSocketOptions;
 import java.nio.ByteBuffer;
 import java.nio.channels.SelectionKey;
 import java.nio.channels.SocketChannel;
-import org.otterpond.chart.Limits;
+import org.otterpond.config.ClientLimits;
 
 /** One client's connection: reads a request, waits for its answer, writes it, goes on. */
-final class Gangway implements Mooring {
+final class ClientConnection implements SelectionHandler {
   private static final long LINGER = 1_000_000;
   private static final int READ_AHEAD = 64 * 1024;
 
-  private final Quay quay;
-  private final CallHandler handler;
-  private final FrontDoor door;
+  private final EventLoop eventLoop;
+  private final RequestHandler handler;
+  private final HttpListener door;
   private final SocketChannel channel;
   private final SelectionKey key;
-  private final InBuffer in = new InBuffer();
-  private final OutBuffer out = new OutBuffer();
-  private final MissiveReader reader = new MissiveReader(in, true);
+  private final ReceiveBuffer in = new ReceiveBuffer();
+  private final SendBuffer out = new SendBuffer();
+  private final HttpMessageParser reader = new HttpMessageParser(in, true);
 
-  private Call call;
+  private ServerExchange call;
   private boolean headCall;
   private boolean closing;
   private boolean draining;
@@ -31,15 +31,16 @@
   private long since;
   private long firstByteAt;
 
-  Gangway(Quay quay, CallHandler handler, FrontDoor door, SocketChannel channel)
+  ClientConnection(
+      EventLoop eventLoop, RequestHandler handler, HttpListener door, SocketChannel channel)
       throws IOException {
-    this.quay = quay;
+    this.eventLoop = eventLoop;
     this.handler = handler;
     this.door = door;
     this.channel = channel;
     channel.setOption(StandardSocketOptions.TCP_NODELAY, true);
-    this.key = quay.moor(channel, SelectionKey.OP_READ, this);
-    this.since = Quay.now();
+    this.key = eventLoop.moor(channel, SelectionKey.OP_READ, this);
+    this.since = EventLoop.now();
   }
 
   @Override
@@ -57,7 +58,7 @@
   }
 
   private void fill() throws IOException {
-    ByteBuffer scratch = quay.scratch();
+    ByteBuffer scratch = eventLoop.scratch();
     int n = channel.read(scratch);
     if (draining) {
       if (n < 0) {
@@ -82,7 +83,7 @@
       return;
     }
     if (!reader.begun()) {
-      firstByteAt = Quay.now();
+      firstByteAt = EventLoop.now();
       since = firstByteAt;
     }
     scratch.flip();
@@ -98,9 +99,9 @@
     if (call != null || closing || closed) {
       return;
     }
-    Limits l = handler.limits();
+    ClientLimits l = handler.limits();
     reader.limits(l.maxHeaderBytes(), Math.min(l.maxBodyBytes(), door.bodyBound()));
-    Missive m;
+    HttpMessage m;
     try {
       m = reader.next(false);
       if (m == null && reader.takeExpectContinue()) {
@@ -108,7 +109,7 @@
             "HTTP/1.1 100 Continue\r\n\r\n".getBytes(java.nio.charset.StandardCharsets.US_ASCII));
         flush();
       }
-    } catch (BadBytesException e) {
+    } catch (MalformedMessageException e) {
       refuse(e.status(), e.getMessage());
       return;
     }
@@ -117,18 +118,18 @@
     }
     headCall = m.method().equals("HEAD");
     closing = m.old() ? !m.holds("Connection", "keep-alive") : m.holds("Connection", "close");
-    call = new Call(m, firstByteAt, this);
+    call = new ServerExchange(m, firstByteAt, this);
     handler.handle(call);
   }
 
   private void refuse(int status, String cause) throws IOException {
     closing = true;
     draining = true;
-    out.add(OutBuffer.encode(Replies.problem(status, cause), true, "close"));
+    out.add(SendBuffer.encode(GatewayResponses.problem(status, cause), true, "close"));
     flush();
   }
 
-  void answer(Call of, Missive response) {
+  void answer(ServerExchange of, HttpMessage response) {
     if (closed || of != call) {
       return;
     }
@@ -137,15 +138,15 @@
       closing = last;
       boolean body = !headCall;
       String connection = last ? "close" : of.request().old() ? "keep-alive" : null;
-      out.add(OutBuffer.encode(response, body, connection));
+      out.add(SendBuffer.encode(response, body, connection));
       call = null;
-      since = Quay.now();
+      since = EventLoop.now();
       flush();
       if (!closed && !closing) {
         key.interestOps(key.interestOps() | SelectionKey.OP_READ);
         if (in.hasData()) {
           firstByteAt = since;
-          quay.after(0, this::parseGuarded);
+          eventLoop.after(0, this::parseGuarded);
         } else {
           in.trim();
         }
@@ -164,7 +165,7 @@
   }
 
   private void flush() throws IOException {
-    boolean all = out.flush(channel, quay.scratch());
+    boolean all = out.flush(channel, eventLoop.scratch());
     if (!all) {
       key.interestOps(key.interestOps() | SelectionKey.OP_WRITE);
       return;
@@ -190,7 +191,7 @@
     draining = true;
     channel.shutdownOutput();
     key.interestOps(SelectionKey.OP_READ);
-    quay.after(LINGER, this::close);
+    eventLoop.after(LINGER, this::close);
   }
 
   /** Whether it is between requests. */
@@ -207,7 +208,7 @@
     if (closed || draining) {
       return;
     }
-    Limits l = handler.limits();
+    ClientLimits l = handler.limits();
     if (idle()) {
       if (now - since > l.idleMicros()) {
         close();
@@ -227,7 +228,7 @@
 
   /** Breaks off so that nobody takes what went out for a whole answer. */
   void reset() {
-    Sockets.discard(channel);
+    SocketChannels.discard(channel);
     close();
   }
 
@@ -237,7 +238,7 @@
     }
     closed = true;
     key.cancel();
-    Sockets.close(channel);
+    SocketChannels.close(channel);
     door.left(this);
     if (call != null) {
       call.gone();
--- a/src/main/java/org/otterpond/quay/Quay.java
+++ b/src/main/java/org/otterpond/net/EventLoop.java
@@ -1,4 +1,4 @@
-package org.otterpond.quay;
+package org.otterpond.net;
 
 import java.io.IOException;
 import java.nio.ByteBuffer;
@@ -19,8 +19,8 @@
  * The owner thread of everything in a node: sockets, timers and a queue of commands from other
  * threads.
  */
-public final class Quay implements Executor, Runnable {
-  private static final Logger LOG = LoggerFactory.getLogger(Quay.class);
+public final class EventLoop implements Executor, Runnable {
+  private static final Logger LOG = LoggerFactory.getLogger(EventLoop.class);
 
   private final Selector selector;
   private final Queue<Runnable> commands = new ConcurrentLinkedQueue<>();
@@ -55,7 +55,7 @@
     }
   }
 
-  public Quay() throws IOException {
+  public EventLoop() throws IOException {
     selector = Selector.open();
   }
 
@@ -70,10 +70,10 @@
     return scratch;
   }
 
-  public SelectionKey moor(SelectableChannel channel, int interest, Mooring mooring)
+  public SelectionKey moor(SelectableChannel channel, int interest, SelectionHandler handler)
       throws IOException {
     channel.configureBlocking(false);
-    return channel.register(selector, interest, mooring);
+    return channel.register(selector, interest, handler);
   }
 
   /** Runs on the owner thread, soon; from any thread. */
@@ -153,7 +153,7 @@
       SelectionKey k = it.next();
       it.remove();
       if (k.isValid()) {
-        guarded(() -> ((Mooring) k.attachment()).ready(k));
+        guarded(() -> ((SelectionHandler) k.attachment()).ready(k));
       }
     }
     Runnable c;
--- a/src/main/java/org/otterpond/quay/FrontDoor.java
+++ b/src/main/java/org/otterpond/net/HttpListener.java
@@ -1,4 +1,4 @@
-package org.otterpond.quay;
+package org.otterpond.net;
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -13,31 +13,35 @@
 import org.slf4j.LoggerFactory;
 
 /** One listening point and the connections that came by it. */
-public final class FrontDoor implements Mooring {
-  private static final Logger LOG = LoggerFactory.getLogger(FrontDoor.class);
+public final class HttpListener implements SelectionHandler {
+  private static final Logger LOG = LoggerFactory.getLogger(HttpListener.class);
   private static final long CHECK = 500_000;
   private static final int BACKLOG = 512;
 
-  private final Quay quay;
-  private final CallHandler handler;
+  private final EventLoop eventLoop;
+  private final RequestHandler handler;
   private final ServerSocketChannel server;
   private final SelectionKey key;
   private final int maxConnections;
   private final long bodyBound;
-  private final Set<Gangway> gangways = new LinkedHashSet<>();
+  private final Set<ClientConnection> connections = new LinkedHashSet<>();
 
-  public FrontDoor(
-      Quay quay, CallHandler handler, InetSocketAddress at, int maxConnections, long bodyBound)
+  public HttpListener(
+      EventLoop eventLoop,
+      RequestHandler handler,
+      InetSocketAddress at,
+      int maxConnections,
+      long bodyBound)
       throws IOException {
-    this.quay = quay;
+    this.eventLoop = eventLoop;
     this.handler = handler;
     this.maxConnections = maxConnections;
     this.bodyBound = bodyBound;
     server = ServerSocketChannel.open();
     server.setOption(StandardSocketOptions.SO_REUSEADDR, true);
     server.bind(at, BACKLOG);
-    key = quay.moor(server, SelectionKey.OP_ACCEPT, this);
-    quay.after(CHECK, this::check);
+    key = eventLoop.moor(server, SelectionKey.OP_ACCEPT, this);
+    eventLoop.after(CHECK, this::check);
   }
 
   long bodyBound() {
@@ -52,20 +56,20 @@
         if (c == null) {
           return;
         }
-        if (gangways.size() >= maxConnections) {
+        if (connections.size() >= maxConnections) {
           makeRoom();
         }
-        gangways.add(new Gangway(quay, handler, this, c));
+        connections.add(new ClientConnection(eventLoop, handler, this, c));
       }
     } catch (IOException e) {
       LOG.warn("event=accept_failed cause=\"{}\"", e.getMessage());
       key.interestOps(0);
-      quay.after(100_000, () -> key.interestOps(SelectionKey.OP_ACCEPT));
+      eventLoop.after(100_000, () -> key.interestOps(SelectionKey.OP_ACCEPT));
     }
   }
 
   private void makeRoom() {
-    for (Gangway g : gangways) {
+    for (ClientConnection g : connections) {
       if (g.idle()) {
         g.close();
         return;
@@ -74,21 +78,21 @@
   }
 
   private void check() {
-    long now = Quay.now();
-    new ArrayList<>(gangways).forEach(g -> g.check(now));
-    quay.after(CHECK, this::check);
+    long now = EventLoop.now();
+    new ArrayList<>(connections).forEach(g -> g.check(now));
+    eventLoop.after(CHECK, this::check);
   }
 
-  void left(Gangway g) {
-    gangways.remove(g);
+  void left(ClientConnection g) {
+    connections.remove(g);
   }
 
   public int open() {
-    return gangways.size();
+    return connections.size();
   }
 
   public boolean busy() {
-    for (Gangway g : gangways) {
+    for (ClientConnection g : connections) {
       if (g.busy()) {
         return true;
       }
@@ -97,7 +101,7 @@
   }
 
   public void closeIdle() {
-    for (Gangway g : new ArrayList<>(gangways)) {
+    for (ClientConnection g : new ArrayList<>(connections)) {
       if (g.idle()) {
         g.close();
       }
--- a/src/main/java/org/otterpond/quay/Missive.java
+++ b/src/main/java/org/otterpond/net/HttpMessage.java
@@ -1,11 +1,11 @@
-package org.otterpond.quay;
+package org.otterpond.net;
 
 import org.apache.hc.core5.http.Header;
 import org.apache.hc.core5.http.message.BasicHeader;
 import org.apache.hc.core5.http.message.HeaderGroup;
 
 /** One whole HTTP message. Either method and target are set, or the status. */
-public final class Missive {
+public final class HttpMessage {
   public static final byte[] EMPTY = new byte[0];
 
   private final HeaderGroup headers = new HeaderGroup();
@@ -15,15 +15,15 @@
   private boolean old;
   private byte[] body = EMPTY;
 
-  public static Missive request(String method, String target) {
-    Missive m = new Missive();
+  public static HttpMessage request(String method, String target) {
+    HttpMessage m = new HttpMessage();
     m.method = method;
     m.target = target;
     return m;
   }
 
-  public static Missive response(int status) {
-    Missive m = new Missive();
+  public static HttpMessage response(int status) {
+    HttpMessage m = new HttpMessage();
     m.status = status;
     return m;
   }
@@ -59,7 +59,7 @@
     return body;
   }
 
-  public Missive body(byte[] bytes) {
+  public HttpMessage body(byte[] bytes) {
     body = bytes;
     return this;
   }
@@ -68,7 +68,7 @@
     return headers;
   }
 
-  public Missive header(String name, Object value) {
+  public HttpMessage header(String name, Object value) {
     if (value != null) {
       headers.addHeader(new BasicHeader(name, value));
     }
--- a/src/main/java/org/otterpond/quay/MissiveReader.java
+++ b/src/main/java/org/otterpond/net/HttpMessageParser.java
@@ -1,4 +1,4 @@
-package org.otterpond.quay;
+package org.otterpond.net;
 
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
@@ -20,7 +20,7 @@
  * Reads one message after another from a connection's bytes. Nothing is carried from one message to
  * the next.
  */
-final class MissiveReader {
+final class HttpMessageParser {
   private static final int MAX_HEADERS = 200;
   private static final ReadableByteChannel NOTHING = new NoChannel();
 
@@ -33,13 +33,13 @@
     DONE
   }
 
-  private final InBuffer in;
+  private final ReceiveBuffer in;
   private final boolean requests;
   private Stage stage = Stage.START;
   private int headerBytes;
   private int maxHeaderBytes = 64 * 1024;
   private long maxBodyBytes = 64L << 20;
-  private Missive message;
+  private HttpMessage message;
   private ByteArrayOutputStream body;
   private long left;
   private ChunkDecoder chunks;
@@ -47,7 +47,7 @@
   private boolean expectsContinue;
   private boolean begun;
 
-  MissiveReader(InBuffer in, boolean requests) {
+  HttpMessageParser(ReceiveBuffer in, boolean requests) {
     this.in = in;
     this.requests = requests;
   }
@@ -80,20 +80,20 @@
   }
 
   /** The next whole message, or null if more bytes are needed. */
-  Missive next(boolean endOfStream) throws BadBytesException {
+  HttpMessage next(boolean endOfStream) throws MalformedMessageException {
     try {
       return advance(endOfStream);
-    } catch (BadBytesException e) {
+    } catch (MalformedMessageException e) {
       throw e;
     } catch (MessageConstraintException e) {
-      throw new BadBytesException(e.getMessage(), 431);
+      throw new MalformedMessageException(e.getMessage(), 431);
     } catch (HttpException | IOException e) {
       // All bytes are in memory already, so whatever HttpCore complains of is in them.
-      throw new BadBytesException(e.getMessage());
+      throw new MalformedMessageException(e.getMessage());
     }
   }
 
-  private Missive advance(boolean endOfStream) throws IOException, HttpException {
+  private HttpMessage advance(boolean endOfStream) throws IOException, HttpException {
     while (stage == Stage.START || stage == Stage.HEADERS) {
       if (!readHeadLine()) {
         return null;
@@ -117,7 +117,7 @@
         if (n > 0) {
           body.write(b.array(), 0, n);
           if (body.size() > maxBodyBytes) {
-            throw new BadBytesException("body too large", 413);
+            throw new MalformedMessageException("body too large", 413);
           }
         } else if (in.length() == before && !chunks.isCompleted()) {
           return null;
@@ -131,7 +131,7 @@
         return null;
       }
     }
-    Missive m = message;
+    HttpMessage m = message;
     if (body != null && body.size() > 0) {
       m.body(body.toByteArray());
     }
@@ -153,21 +153,21 @@
     CharArrayBuffer line = new CharArrayBuffer(128);
     if (!in.readLine(line, false)) {
       if (headerBytes + in.length() > maxHeaderBytes) {
-        throw new BadBytesException("headers too large", 431);
+        throw new MalformedMessageException("headers too large", 431);
       }
       return false;
     }
     begun = true;
     headerBytes += line.length() + 2;
     if (headerBytes > maxHeaderBytes) {
-      throw new BadBytesException("headers too large", 431);
+      throw new MalformedMessageException("headers too large", 431);
     }
     if (stage == Stage.START) {
       if (line.isEmpty()) {
         if (requests) {
           return true;
         }
-        throw new BadBytesException("an empty line in place of an answer");
+        throw new MalformedMessageException("an empty line in place of an answer");
       }
       startLine(line);
       stage = Stage.HEADERS;
@@ -176,11 +176,11 @@
     if (!line.isEmpty()) {
       char c = line.charAt(0);
       if (c == ' ' || c == '\t') {
-        throw new BadBytesException("folded header");
+        throw new MalformedMessageException("folded header");
       }
       Header h = BasicLineParser.INSTANCE.parseHeader(line);
       if (!isToken(h.getName()) || message.headers().getHeaders().length >= MAX_HEADERS) {
-        throw new BadBytesException(
+        throw new MalformedMessageException(
             "bad header name or too many headers", isToken(h.getName()) ? 431 : 400);
       }
       message.headers().addHeader(h);
@@ -190,45 +190,45 @@
     return true;
   }
 
-  private void startLine(CharArrayBuffer line) throws ParseException, BadBytesException {
+  private void startLine(CharArrayBuffer line) throws ParseException, MalformedMessageException {
     if (requests) {
       RequestLine r = BasicLineParser.INSTANCE.parseRequestLine(line);
       if (r.getProtocolVersion().getMajor() != 1) {
-        throw new BadBytesException("HTTP version", 505);
+        throw new MalformedMessageException("HTTP version", 505);
       }
       if (!isToken(r.getMethod()) || !(r.getUri().startsWith("/") || r.getUri().equals("*"))) {
-        throw new BadBytesException("bad request line");
+        throw new MalformedMessageException("bad request line");
       }
-      message = Missive.request(r.getMethod(), r.getUri());
+      message = HttpMessage.request(r.getMethod(), r.getUri());
       message.old(r.getProtocolVersion().lessEquals(HttpVersion.HTTP_1_0));
     } else {
       StatusLine s = BasicLineParser.INSTANCE.parseStatusLine(line);
       if (s.getProtocolVersion().getMajor() != 1
           || s.getStatusCode() < 100
           || s.getStatusCode() > 599) {
-        throw new BadBytesException("bad status line");
+        throw new MalformedMessageException("bad status line");
       }
-      message = Missive.response(s.getStatusCode());
+      message = HttpMessage.response(s.getStatusCode());
       message.old(s.getProtocolVersion().lessEquals(HttpVersion.HTTP_1_0));
     }
   }
 
-  private void beginBody() throws BadBytesException {
+  private void beginBody() throws MalformedMessageException {
     Header[] lengths = message.headers().getHeaders("Content-Length");
     Header[] codings = message.headers().getHeaders("Transfer-Encoding");
     if (lengths.length > 1 || codings.length > 1 || (lengths.length == 1 && codings.length == 1)) {
-      throw new BadBytesException("more than one body length");
+      throw new MalformedMessageException("more than one body length");
     }
     if (!requests && message.status() < 200) {
       // An interim answer: pass over it.
       if (message.status() == 101) {
-        throw new BadBytesException("protocol switched unasked");
+        throw new MalformedMessageException("protocol switched unasked");
       }
       reset();
       return;
     }
     if (requests && message.headers().getHeaders("Host").length != 1 && !message.old()) {
-      throw new BadBytesException("one Host header is wanted");
+      throw new MalformedMessageException("one Host header is wanted");
     }
     body = new ByteArrayOutputStream(0);
     boolean bodiless = !requests && (noBody || message.status() == 204 || message.status() == 304);
@@ -236,7 +236,7 @@
       stage = Stage.DONE;
     } else if (codings.length == 1) {
       if (!codings[0].getValue().trim().equalsIgnoreCase("chunked") || message.old()) {
-        throw new BadBytesException("unknown transfer coding", requests ? 501 : 400);
+        throw new MalformedMessageException("unknown transfer coding", requests ? 501 : 400);
       }
       chunks = new ChunkDecoder(NOTHING, in, new BasicHttpTransportMetrics());
       in.bodyLines(true);
@@ -244,7 +244,7 @@
     } else if (lengths.length == 1) {
       left = parseLength(lengths[0].getValue());
       if (left > maxBodyBytes) {
-        throw new BadBytesException("body too large", 413);
+        throw new MalformedMessageException("body too large", 413);
       }
       body = new ByteArrayOutputStream((int) Math.min(left, 64 * 1024));
       stage = left > 0 ? Stage.LENGTH : Stage.DONE;
@@ -254,10 +254,10 @@
     expectsContinue = requests && stage != Stage.DONE && message.holds("Expect", "100-continue");
   }
 
-  private static long parseLength(String value) throws BadBytesException {
+  private static long parseLength(String value) throws MalformedMessageException {
     String v = value.trim();
     if (v.isEmpty() || v.length() > 18 || !v.chars().allMatch(c -> c >= '0' && c <= '9')) {
-      throw new BadBytesException("bad Content-Length");
+      throw new MalformedMessageException("bad Content-Length");
     }
     return Long.parseLong(v);
   }
--- a/src/main/java/org/otterpond/quay/BadBytesException.java
+++ b/src/main/java/org/otterpond/net/MalformedMessageException.java
@@ -1,17 +1,17 @@
-package org.otterpond.quay;
+package org.otterpond.net;
 
 import java.io.IOException;
 
 /** What arrived is no message in the protocol. */
-public final class BadBytesException extends IOException {
+public final class MalformedMessageException extends IOException {
   private static final long serialVersionUID = 1L;
   private final int status;
 
-  public BadBytesException(String message) {
+  public MalformedMessageException(String message) {
     this(message, 400);
   }
 
-  public BadBytesException(String message, int status) {
+  public MalformedMessageException(String message, int status) {
     super(message);
     this.status = status;
   }
--- a/src/main/java/org/otterpond/quay/Link.java
+++ b/src/main/java/org/otterpond/net/PeerConnection.java
@@ -1,4 +1,4 @@
-package org.otterpond.quay;
+package org.otterpond.net;
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -6,14 +6,14 @@
 import java.nio.ByteBuffer;
 import java.nio.channels.SelectionKey;
 import java.nio.channels.SocketChannel;
-import org.otterpond.signal.FlagCodec;
-import org.otterpond.signal.SignalException;
+import org.otterpond.protocol.ProtocolException;
+import org.otterpond.protocol.WireRecordCodec;
 
 /**
  * One connection to another node: frames of a length and CBOR, and empty frames by which a silent
  * peer is noticed long before the kernel would give it up.
  */
-final class Link implements Mooring {
+final class PeerConnection implements SelectionHandler {
   private static final int PING = 0;
   private static final int PONG = -1;
   private static final int MAX_FRAME = 64 << 20;
@@ -28,11 +28,11 @@
    */
   private static final long ARRIVING = 200_000;
 
-  private final Quay quay;
-  private final Links links;
+  private final EventLoop eventLoop;
+  private final PeerTransport links;
   private final SocketChannel channel;
   private final SelectionKey key;
-  private final OutBuffer out = new OutBuffer();
+  private final SendBuffer out = new SendBuffer();
   private byte[] in = new byte[512];
   private int filled;
   private String peer;
@@ -46,20 +46,21 @@
   private boolean pinged;
   private long arrivingSaid;
 
-  Link(Quay quay, Links links, SocketChannel channel, String peer) throws IOException {
-    this.quay = quay;
+  PeerConnection(EventLoop eventLoop, PeerTransport links, SocketChannel channel, String peer)
+      throws IOException {
+    this.eventLoop = eventLoop;
     this.links = links;
     this.channel = channel;
     this.peer = peer;
     channel.setOption(StandardSocketOptions.TCP_NODELAY, true);
     connected = peer == null;
-    key = quay.moor(channel, connected ? SelectionKey.OP_READ : SelectionKey.OP_CONNECT, this);
-    heardAt = Quay.now();
+    key = eventLoop.moor(channel, connected ? SelectionKey.OP_READ : SelectionKey.OP_CONNECT, this);
+    heardAt = EventLoop.now();
     usedAt = heardAt;
   }
 
   void connect(InetSocketAddress to) throws IOException {
-    waitingSince = Quay.now();
+    waitingSince = EventLoop.now();
     channel.connect(to);
   }
 
@@ -75,7 +76,7 @@
     if (closed || out.pending() > MAX_PENDING) {
       return;
     }
-    usedAt = Quay.now();
+    usedAt = EventLoop.now();
     if (waitingSince == 0) {
       waitingSince = usedAt;
     }
@@ -86,7 +87,7 @@
     out.add(ByteBuffer.allocate(4 + body.length).putInt(length).put(body).array());
     if (!flushDue && connected) {
       flushDue = true;
-      quay.execute(this::flushGuarded);
+      eventLoop.execute(this::flushGuarded);
     }
   }
 
@@ -103,7 +104,7 @@
   }
 
   private void flush() throws IOException {
-    out.flush(channel, key, quay.scratch());
+    out.flush(channel, key, eventLoop.scratch());
   }
 
   @Override
@@ -112,7 +113,7 @@
       if (k.isConnectable()) {
         channel.finishConnect();
         connected = true;
-        heardAt = Quay.now();
+        heardAt = EventLoop.now();
         waitingSince = heardAt;
         flush();
         return;
@@ -123,13 +124,13 @@
       if (k.isReadable()) {
         read();
       }
-    } catch (IOException | SignalException e) {
+    } catch (IOException | ProtocolException e) {
       close(true);
     }
   }
 
-  private void read() throws IOException, SignalException {
-    ByteBuffer scratch = quay.scratch();
+  private void read() throws IOException, ProtocolException {
+    ByteBuffer scratch = eventLoop.scratch();
     int n = channel.read(scratch);
     if (n < 0) {
       close(true);
@@ -143,7 +144,7 @@
     }
     scratch.get(in, filled, n);
     filled += n;
-    heardAt = Quay.now();
+    heardAt = EventLoop.now();
     waitingSince = 0;
     pinged = false;
     int at = 0;
@@ -151,7 +152,7 @@
       int length = ByteBuffer.wrap(in, at, 4).getInt();
       if (length == PING) {
         at += 4;
-        frame(PONG, Missive.EMPTY);
+        frame(PONG, HttpMessage.EMPTY);
         continue;
       }
       if (length == PONG) {
@@ -159,14 +160,14 @@
         continue;
       }
       if (length < 0 || length > MAX_FRAME) {
-        throw new SignalException("frame of " + length + " bytes", null);
+        throw new ProtocolException("frame of " + length + " bytes", null);
       }
       if (filled - at - 4 < length) {
         arriving();
         break;
       }
       usedAt = heardAt;
-      links.received(this, FlagCodec.decode(in, at + 4, length));
+      links.received(this, WireRecordCodec.decode(in, at + 4, length));
       at += 4 + length;
     }
     System.arraycopy(in, at, in, 0, filled - at);
@@ -179,7 +180,7 @@
   private void arriving() {
     if (heardAt - arrivingSaid >= ARRIVING) {
       arrivingSaid = heardAt;
-      frame(PONG, Missive.EMPTY);
+      frame(PONG, HttpMessage.EMPTY);
     }
   }
 
@@ -188,7 +189,7 @@
       close(false);
     } else if (connected && waitingSince != 0 && !pinged && now - waitingSince > ASK_AFTER) {
       pinged = true;
-      frame(PING, Missive.EMPTY);
+      frame(PING, HttpMessage.EMPTY);
     } else if (now - usedAt > IDLE_CLOSE) {
       close(false);
     }
--- a/src/main/java/org/otterpond/quay/Links.java
+++ b/src/main/java/org/otterpond/net/PeerTransport.java
@@ -1,4 +1,4 @@
-package org.otterpond.quay;
+package org.otterpond.net;
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -11,8 +11,8 @@
 import java.util.List;
 import java.util.Map;
 import java.util.function.BiConsumer;
-import org.otterpond.signal.Flag;
-import org.otterpond.signal.FlagCodec;
+import org.otterpond.protocol.WireRecord;
+import org.otterpond.protocol.WireRecordCodec;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -20,19 +20,19 @@
  * Connections between nodes. One connection serves both ways; messages are lost, whole, when it
  * breaks.
  */
-public final class Links implements Mooring {
-  private static final Logger LOG = LoggerFactory.getLogger(Links.class);
+public final class PeerTransport implements SelectionHandler {
+  private static final Logger LOG = LoggerFactory.getLogger(PeerTransport.class);
   private static final long CHECK = 300_000;
   private static final long RECONNECT = 150_000;
 
-  private final Quay quay;
+  private final EventLoop eventLoop;
   private final String self;
-  private final BiConsumer<String, Flag> receiver;
+  private final BiConsumer<String, WireRecord> receiver;
   private final Lost lost;
   private long connections;
   private final ServerSocketChannel server;
-  private final Map<String, Link> links = new HashMap<>();
-  private final List<Link> all = new ArrayList<>();
+  private final Map<String, PeerConnection> links = new HashMap<>();
+  private final List<PeerConnection> all = new ArrayList<>();
   private final Map<String, Long> failedAt = new HashMap<>();
 
   /**
@@ -43,17 +43,18 @@
     void lost(String address, boolean neverUp, long connection);
   }
 
-  public Links(Quay quay, String self, BiConsumer<String, Flag> receiver, Lost lost)
+  public PeerTransport(
+      EventLoop eventLoop, String self, BiConsumer<String, WireRecord> receiver, Lost lost)
       throws IOException {
     this.lost = lost;
-    this.quay = quay;
+    this.eventLoop = eventLoop;
     this.self = self;
     this.receiver = receiver;
     server = ServerSocketChannel.open();
     server.setOption(StandardSocketOptions.SO_REUSEADDR, true);
     server.bind(address(self), 128);
-    quay.moor(server, SelectionKey.OP_ACCEPT, this);
-    quay.after(CHECK, this::check);
+    eventLoop.moor(server, SelectionKey.OP_ACCEPT, this);
+    eventLoop.after(CHECK, this::check);
   }
 
   public static InetSocketAddress address(String point) {
@@ -67,7 +68,7 @@
     try {
       SocketChannel c;
       while ((c = server.accept()) != null) {
-        all.add(new Link(quay, this, c, null));
+        all.add(new PeerConnection(eventLoop, this, c, null));
       }
     } catch (IOException e) {
       LOG.warn("event=link_accept_failed cause=\"{}\"", e.getMessage());
@@ -79,40 +80,40 @@
    * to dial again.
    */
   public long connection(String to) {
-    Link l = links.get(to);
+    PeerConnection l = links.get(to);
     return l == null ? 0 : l.number;
   }
 
-  public void send(String to, Flag f) {
+  public void send(String to, WireRecord f) {
     if (to.equals(self)) {
-      quay.execute(() -> receiver.accept(self, f));
+      eventLoop.execute(() -> receiver.accept(self, f));
       return;
     }
-    Link l = links.get(to);
+    PeerConnection l = links.get(to);
     if (l == null) {
       Long failed = failedAt.get(to);
-      if (failed != null && Quay.now() - failed < RECONNECT) {
+      if (failed != null && EventLoop.now() - failed < RECONNECT) {
         // Too soon to dial again: whoever waits for an answer must know that nothing went out.
-        quay.execute(() -> lost.lost(to, true, 0));
+        eventLoop.execute(() -> lost.lost(to, true, 0));
         return;
       }
       try {
-        l = new Link(quay, this, SocketChannel.open(), to);
+        l = new PeerConnection(eventLoop, this, SocketChannel.open(), to);
         l.connect(address(to));
       } catch (IOException | RuntimeException e) {
-        failedAt.put(to, Quay.now());
-        quay.execute(() -> lost.lost(to, true, 0));
+        failedAt.put(to, EventLoop.now());
+        eventLoop.execute(() -> lost.lost(to, true, 0));
         return;
       }
       l.number = ++connections;
       links.put(to, l);
       all.add(l);
-      l.send(FlagCodec.encode(new Flag("link").with("addr", self)));
+      l.send(WireRecordCodec.encode(new WireRecord("link").with("addr", self)));
     }
-    l.send(FlagCodec.encode(f));
+    l.send(WireRecordCodec.encode(f));
   }
 
-  void received(Link from, Flag f) {
+  void received(PeerConnection from, WireRecord f) {
     if (f.kind().equals("link")) {
       from.peer(f.text("addr"));
       from.number = ++connections;
@@ -123,7 +124,7 @@
     }
   }
 
-  void broken(Link l, boolean neverUp, boolean byPeer) {
+  void broken(PeerConnection l, boolean neverUp, boolean byPeer) {
     all.remove(l);
     if (l.peer() != null) {
       boolean current = links.remove(l.peer(), l);
@@ -131,14 +132,14 @@
         lost.lost(l.peer(), neverUp, l.number);
       }
       if (neverUp) {
-        failedAt.put(l.peer(), Quay.now());
+        failedAt.put(l.peer(), EventLoop.now());
       }
     }
   }
 
   private void check() {
-    long now = Quay.now();
+    long now = EventLoop.now();
     new ArrayList<>(all).forEach(l -> l.check(now));
-    quay.after(CHECK, this::check);
+    eventLoop.after(CHECK, this::check);
   }
 }
--- a/src/main/java/org/otterpond/quay/InBuffer.java
+++ b/src/main/java/org/otterpond/net/ReceiveBuffer.java
@@ -1,4 +1,4 @@
-package org.otterpond.quay;
+package org.otterpond.net;
 
 import java.io.IOException;
 import java.nio.ByteBuffer;
@@ -13,7 +13,7 @@
  * Bytes that arrived on one connection and were not used yet. It reads lines more strictly than
  * HttpCore's own buffer: lines end with CRLF, a bare CR or another control character is an error.
  */
-final class InBuffer implements SessionInputBuffer {
+final class ReceiveBuffer implements SessionInputBuffer {
   private byte[] bytes = new byte[0];
   private int from;
   private int to;
@@ -127,7 +127,7 @@
       return false;
     }
     if (i == from || bytes[i - 1] != '\r') {
-      throw new BadBytesException("a line without CRLF");
+      throw new MalformedMessageException("a line without CRLF");
     }
     if (bodyLines
         && i - 1 > from
@@ -135,12 +135,12 @@
             || bytes[from] == '-'
             || bytes[from] == ' '
             || bytes[from] == '\t')) {
-      throw new BadBytesException("not a chunk size");
+      throw new MalformedMessageException("not a chunk size");
     }
     for (int k = from; k < i - 1; k++) {
       int c = bytes[k] & 0xff;
       if (c < 0x20 && c != '\t' || c == 0x7f) {
-        throw new BadBytesException("control character");
+        throw new MalformedMessageException("control character");
       }
       line.append((char) c);
     }
--- a/src/main/java/org/otterpond/quay/RecentIds.java
+++ b/src/main/java/org/otterpond/net/RecentRequestIds.java
@@ -1,11 +1,11 @@
-package org.otterpond.quay;
+package org.otterpond.net;
 
 /**
  * The last few requests that a connection carried, by their ids. A worker may answer a request a
  * second time, later, and a request that comes back under its id would take that answer for its
  * own.
  */
-final class RecentIds {
+final class RecentRequestIds {
   private static final int KEPT = 32;
 
   private final int[] hashes = new int[KEPT];
--- a/src/main/java/org/otterpond/quay/Reception.java
+++ b/src/main/java/org/otterpond/net/ResponseListener.java
@@ -1,8 +1,8 @@
-package org.otterpond.quay;
+package org.otterpond.net;
 
 /** Told how a request to a worker went. Exactly one of the two is called. */
-public interface Reception {
-  void answered(Missive response);
+public interface ResponseListener {
+  void answered(HttpMessage response);
 
   /**
    * The worker gave no whole answer; {@code written} says whether any byte of the request may have
--- a/src/main/java/org/otterpond/quay/Mooring.java
+++ b/src/main/java/org/otterpond/net/SelectionHandler.java
@@ -1,8 +1,8 @@
-package org.otterpond.quay;
+package org.otterpond.net;
 
 import java.nio.channels.SelectionKey;
 
 /** What is told when a channel can go on. */
-public interface Mooring {
+public interface SelectionHandler {
   void ready(SelectionKey key);
 }
--- a/src/main/java/org/otterpond/quay/OutBuffer.java
+++ b/src/main/java/org/otterpond/net/SendBuffer.java
@@ -1,4 +1,4 @@
-package org.otterpond.quay;
+package org.otterpond.net;
 
 import java.io.IOException;
 import java.nio.ByteBuffer;
@@ -10,7 +10,7 @@
 import org.apache.hc.core5.http.impl.EnglishReasonPhraseCatalog;
 
 /** Bytes on their way out of one connection. */
-final class OutBuffer {
+final class SendBuffer {
   private final ArrayDeque<ByteBuffer> queue = new ArrayDeque<>();
   private long written;
 
@@ -82,7 +82,7 @@
   /**
    * Head and body as one run of bytes; the body's length is said here, whatever the headers hold.
    */
-  static byte[] encode(Missive m, boolean withBody, String connection) {
+  static byte[] encode(HttpMessage m, boolean withBody, String connection) {
     StringBuilder s = new StringBuilder(256);
     if (m.method() != null) {
       s.append(m.method()).append(' ').append(m.target()).append(" HTTP/1.1\r\n");
--- a/src/main/java/org/otterpond/quay/Call.java
+++ b/src/main/java/org/otterpond/net/ServerExchange.java
@@ -1,20 +1,20 @@
-package org.otterpond.quay;
+package org.otterpond.net;
 
 /** One request of a client, whole, with the way back to it. Answered exactly once. */
-public final class Call {
-  private final Missive request;
+public final class ServerExchange {
+  private final HttpMessage request;
   private final long receivedAt;
-  private final Gangway gangway;
+  private final ClientConnection connection;
   private boolean answered;
   private Runnable gone;
 
-  Call(Missive request, long receivedAt, Gangway gangway) {
+  ServerExchange(HttpMessage request, long receivedAt, ClientConnection connection) {
     this.request = request;
     this.receivedAt = receivedAt;
-    this.gangway = gangway;
+    this.connection = connection;
   }
 
-  public Missive request() {
+  public HttpMessage request() {
     return request;
   }
 
@@ -27,10 +27,10 @@
     return answered;
   }
 
-  public void answer(Missive response) {
+  public void answer(HttpMessage response) {
     if (!answered) {
       answered = true;
-      gangway.answer(this, response);
+      connection.answer(this, response);
     }
   }
 
@@ -38,7 +38,7 @@
   public void abort() {
     if (!answered) {
       answered = true;
-      gangway.reset();
+      connection.reset();
     }
   }
 
--- a/src/main/java/org/otterpond/quay/Sockets.java
+++ b/src/main/java/org/otterpond/net/SocketChannels.java
@@ -1,12 +1,12 @@
-package org.otterpond.quay;
+package org.otterpond.net;
 
 import java.io.IOException;
 import java.net.StandardSocketOptions;
 import java.nio.channels.SocketChannel;
 
 /** Ways to end a connection. */
-final class Sockets {
-  private Sockets() {}
+final class SocketChannels {
+  private SocketChannels() {}
 
   /**
    * Closes so that nothing more goes out. An ordinary close leaves what the other side has not got
--- a/src/main/java/org/otterpond/quay/Tender.java
+++ b/src/main/java/org/otterpond/net/WorkerConnection.java
@@ -1,4 +1,4 @@
-package org.otterpond.quay;
+package org.otterpond.net;
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -8,37 +8,39 @@
 import java.nio.channels.SocketChannel;
 
 /** One connection to a worker; carries one request at a time. */
-public final class Tender implements Mooring {
+public final class WorkerConnection implements SelectionHandler {
   private static final int MAX_ANSWER_HEAD = 64 * 1024;
 
-  private final Quay quay;
-  private final TenderPool pool;
+  private final EventLoop eventLoop;
+  private final WorkerConnectionPool pool;
   private final SocketChannel channel;
   private final SelectionKey key;
-  private final InBuffer in = new InBuffer();
-  private final OutBuffer out = new OutBuffer();
-  private final MissiveReader reader = new MissiveReader(in, false);
+  private final ReceiveBuffer in = new ReceiveBuffer();
+  private final SendBuffer out = new SendBuffer();
+  private final HttpMessageParser reader = new HttpMessageParser(in, false);
 
   private boolean connected;
   private boolean closed;
-  private Reception reception;
+  private ResponseListener listener;
 
   /** What the answer must bring back of the request in hand. */
   private String echo;
 
-  private final RecentIds carried = new RecentIds();
-  private Quay.Timer connectTimer;
+  private final RecentRequestIds carried = new RecentRequestIds();
+  private EventLoop.Timer connectTimer;
   private long connectBy;
   private long usableUntil;
   private long idleSince;
   private long writtenBefore;
 
-  Tender(Quay quay, TenderPool pool, InetSocketAddress to, long connectMicros) throws IOException {
-    this.quay = quay;
+  WorkerConnection(
+      EventLoop eventLoop, WorkerConnectionPool pool, InetSocketAddress to, long connectMicros)
+      throws IOException {
+    this.eventLoop = eventLoop;
     this.pool = pool;
     channel = SocketChannel.open();
     channel.setOption(StandardSocketOptions.TCP_NODELAY, true);
-    key = quay.moor(channel, SelectionKey.OP_CONNECT, this);
+    key = eventLoop.moor(channel, SelectionKey.OP_CONNECT, this);
     reader.limits(MAX_ANSWER_HEAD, pool.answerBound());
     try {
       channel.connect(to);
@@ -47,9 +49,9 @@
       channel.close();
       throw new IOException("connect", e);
     }
-    connectBy = Quay.now() + connectMicros;
+    connectBy = EventLoop.now() + connectMicros;
     connectTimer =
-        quay.after(
+        eventLoop.after(
             connectMicros,
             () -> {
               if (!connected) {
@@ -67,7 +69,7 @@
       return false;
     }
     try {
-      return channel.read(quay.scratch()) == 0;
+      return channel.read(eventLoop.scratch()) == 0;
     } catch (IOException e) {
       return false;
     }
@@ -86,13 +88,13 @@
     return usableUntil;
   }
 
-  void send(Missive request, Reception r) {
-    reception = r;
+  void send(HttpMessage request, ResponseListener r) {
+    listener = r;
     echo = request.first(pool.echoed());
     carried.add(echo);
     writtenBefore = out.written();
     reader.expect(request.method().equals("HEAD"));
-    out.add(OutBuffer.encode(request, true, null));
+    out.add(SendBuffer.encode(request, true, null));
     if (connected) {
       try {
         flush();
@@ -103,7 +105,7 @@
   }
 
   private void flush() throws IOException {
-    out.flush(channel, key, quay.scratch());
+    out.flush(channel, key, eventLoop.scratch());
   }
 
   @Override
@@ -111,7 +113,7 @@
     try {
       if (k.isConnectable()) {
         channel.finishConnect();
-        if (Quay.now() > connectBy) {
+        if (EventLoop.now() > connectBy) {
           // This process stood still meanwhile: what is sent now may have been given up elsewhere.
           close("connect_timeout");
           return;
@@ -128,14 +130,14 @@
         read();
       }
     } catch (IOException e) {
-      close(e instanceof BadBytesException ? "garbled" : connected ? "reset" : "refused");
+      close(e instanceof MalformedMessageException ? "garbled" : connected ? "reset" : "refused");
     }
   }
 
   private void read() throws IOException {
-    ByteBuffer scratch = quay.scratch();
+    ByteBuffer scratch = eventLoop.scratch();
     int n = channel.read(scratch);
-    if (reception == null) {
+    if (listener == null) {
       // An idle connection has nothing to say but that it ends.
       close("idle_end");
       return;
@@ -144,7 +146,7 @@
       scratch.flip();
       in.put(scratch);
     }
-    Missive answer = reader.next(n < 0);
+    HttpMessage answer = reader.next(n < 0);
     if (answer == null) {
       if (n < 0) {
         close("ended_early");
@@ -156,8 +158,8 @@
       close("foreign_answer");
       return;
     }
-    Reception r = reception;
-    reception = null;
+    ResponseListener r = listener;
+    listener = null;
     boolean keep =
         n >= 0
             && !answer.old()
@@ -166,7 +168,7 @@
             && out.isEmpty();
     if (keep) {
       in.trim();
-      idleSince = Quay.now();
+      idleSince = EventLoop.now();
       usableUntil = idleSince + pool.idleSpan(answer);
       pool.free(this);
     } else {
@@ -182,8 +184,8 @@
    *     never does
    */
   public boolean abandon() {
-    Sockets.discard(channel);
-    reception = null;
+    SocketChannels.discard(channel);
+    listener = null;
     close("abandoned");
     return anyWritten();
   }
@@ -205,15 +207,15 @@
       connectTimer.cancel();
     }
     key.cancel();
-    Reception r = reception;
+    ResponseListener r = listener;
     if (r != null) {
       // What the worker has not got of the request by now must not reach it later.
-      Sockets.discard(channel);
+      SocketChannels.discard(channel);
     } else {
-      Sockets.close(channel);
+      SocketChannels.close(channel);
     }
     pool.left(this);
-    reception = null;
+    listener = null;
     if (r != null) {
       r.failed(anyWritten(), why);
     }
--- a/src/main/java/org/otterpond/quay/TenderPool.java
+++ b/src/main/java/org/otterpond/net/WorkerConnectionPool.java
@@ -1,4 +1,4 @@
-package org.otterpond.quay;
+package org.otterpond.net;
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -9,28 +9,29 @@
 import java.util.Set;
 
 /** The connections of this node to one life of a worker. */
-public final class TenderPool {
+public final class WorkerConnectionPool {
   /** For {@link #send}: on a new connection, on which no answer to anything else can come. */
   public static final long NEW_ONLY = -1;
 
   private static final long IDLE_UNTOLD = 4_000_000;
   private static final long IDLE_MARGIN = 1_300_000;
 
-  private final Quay quay;
+  private final EventLoop eventLoop;
   private final InetSocketAddress address;
   private final long answerBound;
   private final String echoed;
-  private final ArrayDeque<Tender> idle = new ArrayDeque<>();
-  private final Set<Tender> all = new HashSet<>();
+  private final ArrayDeque<WorkerConnection> idle = new ArrayDeque<>();
+  private final Set<WorkerConnection> all = new HashSet<>();
   private boolean closed;
   private long opened;
 
   /**
    * @param echoed the header that every answer must bring back as the request had it
    */
-  public TenderPool(Quay quay, InetSocketAddress address, long answerBound, String echoed) {
+  public WorkerConnectionPool(
+      EventLoop eventLoop, InetSocketAddress address, long answerBound, String echoed) {
     this.echoed = echoed;
-    this.quay = quay;
+    this.eventLoop = eventLoop;
     this.address = address;
     this.answerBound = answerBound;
   }
@@ -49,16 +50,17 @@
    * @param idleMost how long a connection may have been idle to be used: a worker may have
    *     forgotten it since, and what is sent on it then is lost without proof of not having run
    */
-  public Tender send(Missive request, long connectMicros, long idleMost, Reception r) {
-    Tender t = kept(request.first(echoed), idleMost);
+  public WorkerConnection send(
+      HttpMessage request, long connectMicros, long idleMost, ResponseListener r) {
+    WorkerConnection t = kept(request.first(echoed), idleMost);
     if (t != null) {
       t.send(request, r);
       return t;
     }
     try {
-      t = new Tender(quay, this, address, connectMicros);
+      t = new WorkerConnection(eventLoop, this, address, connectMicros);
     } catch (IOException e) {
-      quay.after(0, () -> r.failed(false, "refused"));
+      eventLoop.after(0, () -> r.failed(false, "refused"));
       return null;
     }
     opened++;
@@ -71,11 +73,11 @@
    * The connection that was used last, of those that can carry a request of this id; null if there
    * is none.
    */
-  private Tender kept(String id, long idleMost) {
-    long now = Quay.now();
-    Iterator<Tender> it = idle.descendingIterator();
+  private WorkerConnection kept(String id, long idleMost) {
+    long now = EventLoop.now();
+    Iterator<WorkerConnection> it = idle.descendingIterator();
     while (it.hasNext()) {
-      Tender t = it.next();
+      WorkerConnection t = it.next();
       if (now - t.idleSince() > idleMost) {
         return null;
       }
@@ -91,7 +93,7 @@
     return null;
   }
 
-  void free(Tender t) {
+  void free(WorkerConnection t) {
     if (closed) {
       t.close("pool_closed");
     } else {
@@ -99,13 +101,13 @@
     }
   }
 
-  void left(Tender t) {
+  void left(WorkerConnection t) {
     all.remove(t);
     idle.remove(t);
   }
 
   /** How long an idle connection may be used, going by what the worker said. */
-  long idleSpan(Missive answer) {
+  long idleSpan(HttpMessage answer) {
     String k = answer.first("Keep-Alive");
     if (k != null) {
       for (String part : k.split(",")) {
@@ -125,8 +127,8 @@
 
   /** Closes what has been idle too long. */
   public void sweep() {
-    long now = Quay.now();
-    for (Tender t : new ArrayList<>(idle)) {
+    long now = EventLoop.now();
+    for (WorkerConnection t : new ArrayList<>(idle)) {
       if (now >= t.usableUntil()) {
         t.close("idle");
       }
--- a/src/main/java/org/otterpond/lookout/Lookout.java
+++ b/src/main/java/org/otterpond/outlier/SlowWorkerDetector.java
@@ -1,4 +1,4 @@
-package org.otterpond.lookout;
+package org.otterpond.outlier;
 
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -20,7 +20,7 @@
  * which the balancer had a choice to make, that is, at which at least one worker was busier than
  * the least loaded: at rest every share is equal and says nothing.
  */
-public final class Lookout {
+public final class SlowWorkerDetector {
   private static final double NOISE = 0.5;
   private static final double MOST_MARGIN = 0.9;
 
@@ -35,7 +35,7 @@
   private int agreed;
   private double repeats = 1;
 
-  public Lookout(int window, double alphaMax, int confirm) {
+  public SlowWorkerDetector(int window, double alphaMax, int confirm) {
     if (window < 1 || confirm < 1 || !(alphaMax > 0 && alphaMax < 0.9)) {
       throw new IllegalArgumentException("window, smoothing or smallest slowdown out of range");
     }
@@ -133,8 +133,8 @@
     return Math.min(MOST_MARGIN, Math.max(gamma, NOISE / Math.sqrt(each)));
   }
 
-  public Verdict verdict() {
-    return new Verdict(agreed >= confirm ? candidates : List.of(), samples.size());
+  public SlowdownVerdict verdict() {
+    return new SlowdownVerdict(agreed >= confirm ? candidates : List.of(), samples.size());
   }
 
   /** The mean share of a worker over the window, for those who look into a flag. */
--- a/src/main/java/org/otterpond/lookout/Verdict.java
+++ b/src/main/java/org/otterpond/outlier/SlowdownVerdict.java
@@ -1,4 +1,4 @@
-package org.otterpond.lookout;
+package org.otterpond.outlier;
 
 import java.util.List;
 
@@ -6,4 +6,4 @@
  * What the detector says of one service: the slow workers by their ids; none when the samples are
  * inconclusive.
  */
-public record Verdict(List<String> slow, int samples) {}
+public record SlowdownVerdict(List<String> slow, int samples) {}
--- a/src/main/java/org/otterpond/signal/Bale.java
+++ b/src/main/java/org/otterpond/protocol/CompressedPayload.java
@@ -1,4 +1,4 @@
-package org.otterpond.signal;
+package org.otterpond.protocol;
 
 import java.io.ByteArrayInputStream;
 import java.io.ByteArrayOutputStream;
@@ -13,33 +13,33 @@
 import java.util.zip.InflaterInputStream;
 
 /** What goes to many nodes alike, packed once: a text or a message, deflated. */
-public final class Bale {
+public final class CompressedPayload {
   private static final int MOST = 64 << 20;
   private static final int BUFFER = 8 * 1024;
 
-  private Bale() {}
+  private CompressedPayload() {}
 
   /**
    * Packed as it is encoded, and read as it is unpacked: the whole never stands in memory a second
    * time.
    */
-  public static byte[] pack(Flag flag) {
-    return deflate(out -> FlagCodec.encode(flag, out));
+  public static byte[] pack(WireRecord wireRecord) {
+    return deflate(out -> WireRecordCodec.encode(wireRecord, out));
   }
 
   public static byte[] pack(String text) {
     return deflate(out -> out.write(text.getBytes(StandardCharsets.UTF_8)));
   }
 
-  public static Flag unpack(byte[] bale) throws SignalException {
-    return FlagCodec.decode(bounded(bale));
+  public static WireRecord unpack(byte[] payload) throws ProtocolException {
+    return WireRecordCodec.decode(bounded(payload));
   }
 
-  public static String unpackText(byte[] bale) throws SignalException {
-    try (InputStream in = bounded(bale)) {
+  public static String unpackText(byte[] payload) throws ProtocolException {
+    try (InputStream in = bounded(payload)) {
       return new String(in.readAllBytes(), StandardCharsets.UTF_8);
     } catch (IOException e) {
-      throw new SignalException("unreadable bale", e);
+      throw new ProtocolException("unreadable bale", e);
     }
   }
 
@@ -61,10 +61,10 @@
   }
 
   /** What is in a bale, up to a bound: a small bale may hold much. */
-  private static InputStream bounded(byte[] bale) {
+  private static InputStream bounded(byte[] payload) {
     Inflater inflater = new Inflater();
     return new FilterInputStream(
-        new InflaterInputStream(new ByteArrayInputStream(bale), inflater, BUFFER)) {
+        new InflaterInputStream(new ByteArrayInputStream(payload), inflater, BUFFER)) {
       private long left = MOST;
 
       @Override
--- a/src/main/java/org/otterpond/signal/FlagCodec.java
+++ b/src/main/java/org/otterpond/protocol/WireRecordCodec.java
@@ -1,4 +1,4 @@
-package org.otterpond.signal;
+package org.otterpond.protocol;
 
 import com.fasterxml.jackson.core.JsonGenerator;
 import com.fasterxml.jackson.core.JsonParser;
@@ -14,51 +14,51 @@
 import java.util.Map;
 
 /** Messages to CBOR and back, by Jackson's streaming layer. */
-public final class FlagCodec {
+public final class WireRecordCodec {
   private static final CBORFactory FACTORY = new CBORFactory();
 
-  private FlagCodec() {}
+  private WireRecordCodec() {}
 
-  public static byte[] encode(Flag flag) {
+  public static byte[] encode(WireRecord wireRecord) {
     ByteArrayOutputStream out = new ByteArrayOutputStream(256);
     try {
-      encode(flag, out);
+      encode(wireRecord, out);
     } catch (IOException e) {
       throw new IllegalStateException("in-memory encoding failed", e);
     }
     return out.toByteArray();
   }
 
-  static void encode(Flag flag, OutputStream out) throws IOException {
+  static void encode(WireRecord wireRecord, OutputStream out) throws IOException {
     try (JsonGenerator g = FACTORY.createGenerator(out)) {
-      write(g, flag.asMap());
+      write(g, wireRecord.asMap());
     }
   }
 
-  public static Flag decode(byte[] bytes, int offset, int length) throws SignalException {
+  public static WireRecord decode(byte[] bytes, int offset, int length) throws ProtocolException {
     try (JsonParser p = FACTORY.createParser(bytes, offset, length)) {
       return decode(p);
     } catch (IOException e) {
-      throw new SignalException("unreadable message", e);
+      throw new ProtocolException("unreadable message", e);
     }
   }
 
-  static Flag decode(InputStream in) throws SignalException {
+  static WireRecord decode(InputStream in) throws ProtocolException {
     try (JsonParser p = FACTORY.createParser(in)) {
       return decode(p);
     } catch (IOException e) {
-      throw new SignalException("unreadable message", e);
+      throw new ProtocolException("unreadable message", e);
     }
   }
 
   @SuppressWarnings("unchecked")
-  private static Flag decode(JsonParser p) throws IOException, SignalException {
+  private static WireRecord decode(JsonParser p) throws IOException, ProtocolException {
     p.nextToken();
     Object v = read(p);
     if (!(v instanceof Map)) {
-      throw new SignalException("a message is a map", null);
+      throw new ProtocolException("a message is a map", null);
     }
-    return Flag.fromMap((Map<String, Object>) v);
+    return WireRecord.fromMap((Map<String, Object>) v);
   }
 
   private static void write(JsonGenerator g, Object v) throws IOException {
@@ -74,7 +74,7 @@
       g.writeBoolean(b);
     } else if (v instanceof byte[] b) {
       g.writeBinary(b);
-    } else if (v instanceof Flag f) {
+    } else if (v instanceof WireRecord f) {
       write(g, f.asMap());
     } else if (v instanceof Map<?, ?> m) {
       g.writeStartObject();
--- a/src/main/java/org/otterpond/cargo/Attempt.java
+++ b/src/main/java/org/otterpond/proxy/Attempt.java
@@ -1,15 +1,15 @@
-package org.otterpond.cargo;
+package org.otterpond.proxy;
 
-import org.otterpond.quay.Tender;
+import org.otterpond.net.WorkerConnection;
 
 /** One sending of a request to one worker, until it is answered, fails or is given up. */
 final class Attempt {
-  final Hull hull;
+  final WorkerEndpoint endpoint;
   private final long sentAt;
-  Tender tender;
+  WorkerConnection connection;
 
-  Attempt(Hull hull, long sentAt) {
-    this.hull = hull;
+  Attempt(WorkerEndpoint endpoint, long sentAt) {
+    this.endpoint = endpoint;
     this.sentAt = sentAt;
   }
 
@@ -18,7 +18,7 @@
    * never will.
    */
   boolean abandon() {
-    return tender != null && tender.abandon();
+    return connection != null && connection.abandon();
   }
 
   long sentAt() {
@@ -27,6 +27,6 @@
 
   /** Whether the worker has answered nothing at all, to anybody here, since it was sent this. */
   boolean silent() {
-    return hull.quietSince() <= sentAt;
+    return endpoint.quietSince() <= sentAt;
   }
 }
--- a/src/main/java/org/otterpond/cargo/Locker.java
+++ b/src/main/java/org/otterpond/proxy/IdempotentResponseCache.java
@@ -1,29 +1,29 @@
-package org.otterpond.cargo;
+package org.otterpond.proxy;
 
 import java.util.Iterator;
 import java.util.LinkedHashMap;
 import java.util.Map;
-import org.otterpond.signal.Flag;
+import org.otterpond.protocol.WireRecord;
 
 /**
  * The answers of keyed operations that this node ran, kept for repeats of them: the ledger knows
  * which node holds one, and a repeat met elsewhere fetches it from here. Bounded by age and bytes,
  * the oldest go first; a repeat whose answer has gone gets an answer that promises nothing.
  */
-final class Locker {
-  private record Kept(String token, Flag answer, long at, int size) {}
+final class IdempotentResponseCache {
+  private record Kept(String token, WireRecord answer, long at, int size) {}
 
   private final long windowMicros;
   private final long byteBound;
   private final LinkedHashMap<String, Kept> kept = new LinkedHashMap<>();
   private long bytes;
 
-  Locker(long windowMicros, long byteBound) {
+  IdempotentResponseCache(long windowMicros, long byteBound) {
     this.windowMicros = windowMicros;
     this.byteBound = byteBound;
   }
 
-  void put(String key, String token, Flag answer, long now) {
+  void put(String key, String token, WireRecord answer, long now) {
     byte[] body = answer.bytes("body");
     int size = 400 + (body == null ? 0 : body.length);
     Kept old = kept.remove(key);
@@ -41,7 +41,7 @@
   }
 
   /** The answer of that very run, or null. */
-  Flag get(String key, String token) {
+  WireRecord get(String key, String token) {
     Kept k = kept.get(key);
     return k != null && k.token().equals(token) ? k.answer() : null;
   }
--- a/src/main/java/org/otterpond/cargo/Pace.java
+++ b/src/main/java/org/otterpond/proxy/LatencyAverage.java
@@ -1,10 +1,10 @@
-package org.otterpond.cargo;
+package org.otterpond.proxy;
 
 /**
  * How long a service usually takes to answer, as this node sees it: a moving mean over its latest
  * answers.
  */
-final class Pace {
+public final class LatencyAverage {
   private static final int MEMORY = 64;
 
   /**
@@ -16,7 +16,7 @@
   private double mean;
   private int seen;
 
-  void answered(long micros) {
+  public void answered(long micros) {
     double counted = seen < MEMORY / 4 ? micros : Math.min(micros, LONGEST * mean);
     seen = Math.min(seen + 1, MEMORY);
     mean += (counted - mean) / seen;
