--- a/src/main/java/org/otterpond/cargo/Pilotage.java
+++ b/src/main/java/org/otterpond/proxy/ProxyHandler.java
@@ -1,4 +1,4 @@
-package org.otterpond.cargo;
+package org.otterpond.proxy;
 
 import java.util.ArrayList;
 import java.util.HashSet;
@@ -10,44 +10,45 @@
 import java.util.Set;
 import java.util.concurrent.ThreadLocalRandom;
 import org.apache.hc.core5.http.Header;
-import org.otterpond.chart.Configuration;
-import org.otterpond.chart.Limits;
-import org.otterpond.chart.Route;
-import org.otterpond.chart.RouteType;
-import org.otterpond.chart.Settings;
-import org.otterpond.chart.Shipper;
-import org.otterpond.harbour.HarbourNode;
-import org.otterpond.harbour.Shore;
-import org.otterpond.harbour.Stores;
-import org.otterpond.harbour.Vessel;
-import org.otterpond.keys.KeeperHost;
-import org.otterpond.keys.KeyHeat;
-import org.otterpond.keys.KeyRange;
-import org.otterpond.keys.RangeState;
-import org.otterpond.keys.RangeTable;
-import org.otterpond.quay.Call;
-import org.otterpond.quay.CallHandler;
-import org.otterpond.quay.Missive;
-import org.otterpond.quay.Quay;
-import org.otterpond.quay.Reception;
-import org.otterpond.quay.Replies;
-import org.otterpond.signal.Flag;
+import org.otterpond.config.ClientLimits;
+import org.otterpond.config.GatewayConfiguration;
+import org.otterpond.config.NodeSettings;
+import org.otterpond.config.Route;
+import org.otterpond.config.RouteType;
+import org.otterpond.config.Tenant;
+import org.otterpond.control.agent.ControlPlaneAgent;
+import org.otterpond.control.agent.QuotaCache;
+import org.otterpond.control.primary.DataPlane;
+import org.otterpond.control.state.WorkerInstance;
+import org.otterpond.keyrange.KeyLoad;
+import org.otterpond.keyrange.KeyRange;
+import org.otterpond.keyrange.KeyRangeRuntime;
+import org.otterpond.keyrange.KeyRangeState;
+import org.otterpond.keyrange.KeyRangeTable;
+import org.otterpond.messaging.MessageIngestHandler;
+import org.otterpond.net.EventLoop;
+import org.otterpond.net.GatewayResponses;
+import org.otterpond.net.HttpMessage;
+import org.otterpond.net.RequestHandler;
+import org.otterpond.net.ResponseListener;
+import org.otterpond.net.ServerExchange;
+import org.otterpond.protocol.WireRecord;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /** The data path of one node: routes a request, picks a worker, forwards, answers. */
-public final class Pilotage implements CallHandler, Shore {
-  private static final Logger LOG = LoggerFactory.getLogger(Pilotage.class);
+public final class ProxyHandler implements RequestHandler, DataPlane {
+  private static final Logger LOG = LoggerFactory.getLogger(ProxyHandler.class);
 
   static final String ATTEMPT_ID = "X-Otterpond-Attempt-Id";
-  static final String TIME_LEFT = "X-Otterpond-Time-Remaining";
-  static final String KEY = "X-Otterpond-Operation-Key";
-  static final String SEAL = "X-Otterpond-Server-Seal";
-  static final String EXPECTED = "X-Otterpond-Expected-Instance";
-  static final String TENANT = "X-Otterpond-Tenant-Id";
+  public static final String TIME_LEFT = "X-Otterpond-Time-Remaining";
+  public static final String KEY = "X-Otterpond-Operation-Key";
+  public static final String SEAL = "X-Otterpond-Server-Seal";
+  public static final String EXPECTED = "X-Otterpond-Expected-Instance";
+  public static final String TENANT = "X-Otterpond-Tenant-Id";
   static final String PARTITION_KEY = "X-Otterpond-Partition-Key";
-  static final String AUTHORIZATION = "Authorization";
-  static final String NOT_EXECUTED = "X-Otterpond-Not-Executed";
+  public static final String AUTHORIZATION = "Authorization";
+  public static final String NOT_EXECUTED = "X-Otterpond-Not-Executed";
 
   private static final Set<String> HOP =
       Set.of(
@@ -102,58 +103,59 @@
   private static final long WORK_ASKED_AGAIN = 100_000;
   private static final long UNRUN_ASKED_AGAIN = 10_000;
 
-  private final Quay quay;
-  private final Settings settings;
-  private final HarbourNode node;
+  private final EventLoop eventLoop;
+  private final NodeSettings settings;
+  private final ControlPlaneAgent node;
   private final Random random;
-  private final Fairways fairways;
+  private final ServiceDirectory services;
   private final long life;
-  private final Tally tally;
-  private final Locker locker;
-  private final UnrunClaims unrun;
-  private final Stores stores;
-  private final Intake intake;
-  private final RangeTable ranges = new RangeTable();
-  private final KeyHeat.Meter meter = new KeyHeat.Meter();
-  private final WorkerCalls workerCalls;
+  private final ProxyMetrics tally;
+  private final IdempotentResponseCache responseCache;
+  private final UnexecutedKeys unrun;
+  private final QuotaCache stores;
+  private final MessageIngestHandler intake;
+  private final KeyRangeTable ranges = new KeyRangeTable();
+  private final KeyLoad.Meter meter = new KeyLoad.Meter();
+  private final WorkerClient workerCalls;
 
   /** The claims whose runs are not settled yet. */
   private final Set<String> atWork = new HashSet<>();
 
-  private final Set<Call> parked = new LinkedHashSet<>();
+  private final Set<ServerExchange> parked = new LinkedHashSet<>();
   private final long keysTrusted;
 
-  private Configuration configuration;
+  private GatewayConfiguration configuration;
   private boolean leaving;
   private long tokenNumber;
   private boolean waitCheckDue;
-  private final Set<Passage> inHand = new LinkedHashSet<>();
+  private final Set<RequestContext> inHand = new LinkedHashSet<>();
   private boolean closing;
 
-  public Pilotage(
-      Quay quay,
-      Settings settings,
-      java.util.function.Function<Shore, HarbourNode> nodeFor,
+  public ProxyHandler(
+      EventLoop eventLoop,
+      NodeSettings settings,
+      java.util.function.Function<DataPlane, ControlPlaneAgent> nodeFor,
       long life,
-      Tally tally) {
-    this.quay = quay;
+      ProxyMetrics tally) {
+    this.eventLoop = eventLoop;
     this.settings = settings;
     this.life = life;
     this.tally = tally;
     long remembered = settings.keyWindowMicros() + 10_000_000;
-    this.locker = new Locker(remembered, Runtime.getRuntime().maxMemory() / 4);
-    this.unrun = new UnrunClaims(remembered);
+    this.responseCache =
+        new IdempotentResponseCache(remembered, Runtime.getRuntime().maxMemory() / 4);
+    this.unrun = new UnexecutedKeys(remembered);
     this.random = new Random(ThreadLocalRandom.current().nextLong());
-    this.fairways = new Fairways(quay, settings, random, this::wake);
+    this.services = new ServiceDirectory(eventLoop, settings, random, this::wake);
     this.node = nodeFor.apply(this);
     this.stores = node.stores();
-    this.workerCalls = new WorkerCalls(quay);
-    this.intake = new Intake(quay, node, random, life, tally);
+    this.workerCalls = new WorkerClient(eventLoop);
+    this.intake = new MessageIngestHandler(eventLoop, node, random, life, tally);
     this.keysTrusted =
         settings.revokeMicros() - Math.max(REVOKE_MARGIN, settings.revokeMicros() / 20);
   }
 
-  public HarbourNode node() {
+  public ControlPlaneAgent node() {
     return node;
   }
 
@@ -186,60 +188,60 @@
   /** The end: whoever still waits gets an answer in place of a connection that just ends. */
   public void endAll() {
     closing = true;
-    List<Call> calls = new ArrayList<>(parked);
+    List<ServerExchange> calls = new ArrayList<>(parked);
     parked.clear();
     calls.forEach(this::sendElsewhere);
     intake.endAll();
-    for (Passage p : new ArrayList<>(inHand)) {
+    for (RequestContext p : new ArrayList<>(inHand)) {
       if (p.open.isEmpty()) {
         refuse(p, "the node is leaving");
       } else {
-        giveUp(p, Replies.problem(502, "the node ended before the worker answered"));
+        giveUp(p, GatewayResponses.problem(502, "the node ended before the worker answered"));
       }
     }
   }
 
-  private void sendElsewhere(Call call) {
+  private void sendElsewhere(ServerExchange call) {
     tally.refused.increment();
-    call.answer(Replies.unavailable("the node is leaving", LEFT_RETRY));
+    call.answer(GatewayResponses.unavailable("the node is leaving", LEFT_RETRY));
   }
 
   @Override
-  public Limits limits() {
-    return configuration == null ? Limits.standard() : configuration.limits();
+  public ClientLimits limits() {
+    return configuration == null ? ClientLimits.standard() : configuration.limits();
   }
 
   // ------------------------------------------------------------------ news
 
   @Override
-  public void configured(Configuration c) {
+  public void configured(GatewayConfiguration c) {
     configuration = c;
     c.services()
         .values()
-        .forEach(s -> fairways.of(s.name()).divided(s.partitioned() ? ranges : null));
-    List<Call> calls = new ArrayList<>(parked);
+        .forEach(s -> services.of(s.name()).divided(s.partitioned() ? ranges : null));
+    List<ServerExchange> calls = new ArrayList<>(parked);
     parked.clear();
     // After the workers that came in the same news.
-    quay.after(0, () -> calls.forEach(this::handle));
+    eventLoop.after(0, () -> calls.forEach(this::handle));
   }
 
   @Override
   public void fleet(Map<String, Integer> nodesInZone, int rank) {
-    fairways.fleet(nodesInZone, rank);
+    services.fleet(nodesInZone, rank);
   }
 
   @Override
-  public void assigned(Flag entry) {
+  public void assigned(WireRecord entry) {
     intake.assigned(entry);
     String service = ranges.take(entry);
     if (service != null) {
-      wake(fairways.of(service));
+      wake(services.of(service));
     }
   }
 
   @Override
-  public List<Flag> heat() {
-    List<Flag> out = new ArrayList<>();
+  public List<WireRecord> heat() {
+    List<WireRecord> out = new ArrayList<>();
     meter
         .take()
         .forEach(
@@ -251,9 +253,9 @@
                     keys.add((long) n);
                   });
               out.add(
-                  new Flag("heat")
+                  new WireRecord("heat")
                       .with("service", service)
-                      .with("work", fairways.of(service).pace.usual())
+                      .with("work", services.of(service).pace.usual())
                       .with("keys", keys));
             });
     return out;
@@ -266,31 +268,31 @@
       String path,
       String body,
       long timeout,
-      java.util.function.Consumer<KeeperHost.Answer> answer) {
+      java.util.function.Consumer<KeyRangeRuntime.Answer> answer) {
     workerCalls.call(address, instance, path, body, timeout, answer);
   }
 
   @Override
-  public Flag outcome(String key, String token) {
-    Flag kept = locker.get(key, token);
+  public WireRecord outcome(String key, String token) {
+    WireRecord kept = responseCache.get(key, token);
     return kept != null
         ? kept
         : atWork.contains(token)
-            ? new Flag("working")
-            : unrun.holds(token) ? new Flag("unrun") : null;
+            ? new WireRecord("working")
+            : unrun.holds(token) ? new WireRecord("unrun") : null;
   }
 
   @Override
-  public void worker(Vessel v) {
-    fairways.worker(v);
+  public void worker(WorkerInstance v) {
+    services.worker(v);
   }
 
   // ----------------------------------------------------------------- calls
 
   @Override
-  public void handle(Call call) {
-    Missive r = call.request();
-    long now = Quay.now();
+  public void handle(ServerExchange call) {
+    HttpMessage r = call.request();
+    long now = EventLoop.now();
     if (closing) {
       sendElsewhere(call);
       return;
@@ -300,7 +302,7 @@
       return;
     }
     tally.requests.increment();
-    if (Intake.asks(r.path())) {
+    if (MessageIngestHandler.asks(r.path())) {
       question(call);
       return;
     }
@@ -308,17 +310,17 @@
     Route route = host == null ? null : configuration.route(host, r.path());
     if (route == null) {
       tally.unrouted.increment();
-      call.answer(Replies.problem(404, "no route"));
+      call.answer(GatewayResponses.problem(404, "no route"));
       return;
     }
-    Shipper shipper = null;
+    Tenant tenant = null;
     if (configuration.closed() && !route.open()) {
       if (!keysFresh()) {
         stale(call);
         return;
       }
-      shipper = shipperOf(r);
-      if (shipper == null) {
+      tenant = tenantOf(r);
+      if (tenant == null) {
         if (node.outOfTouch()) {
           // The key may have come with a version that has not reached this node.
           stale(call);
@@ -326,49 +328,52 @@
         }
         tally.unauthorised.increment();
         call.answer(
-            Replies.problem(401, AUTHORIZATION + ": no tenant holds such a key")
+            GatewayResponses.problem(401, AUTHORIZATION + ": no tenant holds such a key")
                 .header("WWW-Authenticate", "Bearer"));
         return;
       }
     }
     if (r.first(ATTEMPT_ID) == null) {
-      call.answer(Replies.problem(400, ATTEMPT_ID + ": missing"));
+      call.answer(GatewayResponses.problem(400, ATTEMPT_ID + ": missing"));
       return;
     }
     if (route.type() == RouteType.ASYNCHRONOUS) {
-      intake.take(call, route, shipper, configuration);
+      intake.take(call, route, tenant, configuration);
       return;
     }
     long left;
     try {
       left = Math.min(route.guardMicros(), timeLeft(r, route.guardMicros()));
     } catch (NumberFormatException e) {
-      call.answer(Replies.problem(400, TIME_LEFT + ": a number of milliseconds is wanted"));
+      call.answer(
+          GatewayResponses.problem(400, TIME_LEFT + ": a number of milliseconds is wanted"));
       return;
     }
     long aim = route.aimMicros() > 0 ? route.aimMicros() : DEFAULT_AIM;
     long refuse = Math.min(aim / 4 - 10_000, left / 2);
-    Fairway f = fairways.of(route.serviceFor((long) (random.nextDouble() * route.totalWeight())));
+    ServiceEndpoints f =
+        services.of(route.serviceFor((long) (random.nextDouble() * route.totalWeight())));
     int partition = -1;
     if (f.divided()) {
       partition = partitionKey(r);
       if (partition < 0) {
         call.answer(
-            Replies.problem(400, PARTITION_KEY + ": a whole number from 0 to 65535 is wanted"));
+            GatewayResponses.problem(
+                400, PARTITION_KEY + ": a whole number from 0 to 65535 is wanted"));
         return;
       }
       meter.asked(f.name, partition);
       KeyRange range = f.range(partition);
-      if (range != null && range.state() != RangeState.EXPIRING) {
+      if (range != null && range.state() != KeyRangeState.EXPIRING) {
         // What moves has arrived in a moment: it is waited for within the aim.
         refuse = Math.min(aim * 6 / 10, left / 2);
       }
     }
-    Passage p =
-        new Passage(
+    RequestContext p =
+        new RequestContext(
             call,
             route,
-            shipper,
+            tenant,
             f,
             call.receivedAt() + left,
             call.receivedAt() + Math.max(20_000, refuse));
@@ -377,16 +382,15 @@
     if (p.keyed()) {
       p.key = r.first(KEY);
       if (p.key == null || p.key.isEmpty()) {
-        call.answer(Replies.problem(400, KEY + ": missing"));
+        call.answer(GatewayResponses.problem(400, KEY + ": missing"));
         return;
       }
-      p.key =
-          (shipper == null ? "host " + route.host() : "tenant " + shipper.name()) + "\n" + p.key;
+      p.key = (tenant == null ? "host " + route.host() : "tenant " + tenant.name()) + "\n" + p.key;
       p.token = Long.toHexString(life) + "-" + Long.toHexString(++tokenNumber);
     }
-    f.purse.earn(settings.retryRatio() * EARNED, now);
+    f.retryBudget.earn(settings.retryRatio() * EARNED, now);
     inHand.add(p);
-    p.timer = quay.after(p.deadline() - now, () -> deadline(p));
+    p.timer = eventLoop.after(p.deadline() - now, () -> deadline(p));
     if (p.keyed()) {
       claim(p);
     } else if (p.counted()) {
@@ -397,27 +401,27 @@
   }
 
   /** The state or the bytes of a message are asked for, by its own tenant. */
-  private void question(Call call) {
-    Shipper shipper = null;
+  private void question(ServerExchange call) {
+    Tenant tenant = null;
     if (configuration.closed()) {
       if (!keysFresh()) {
         stale(call);
         return;
       }
-      shipper = shipperOf(call.request());
-      if (shipper == null) {
+      tenant = tenantOf(call.request());
+      if (tenant == null) {
         tally.unauthorised.increment();
         call.answer(
-            Replies.problem(401, AUTHORIZATION + ": no tenant holds such a key")
+            GatewayResponses.problem(401, AUTHORIZATION + ": no tenant holds such a key")
                 .header("WWW-Authenticate", "Bearer"));
         return;
       }
     }
-    intake.question(call, shipper);
+    intake.question(call, tenant);
   }
 
   /** The key by which a divided service is split, or -1 if there is none that is good. */
-  private static int partitionKey(Missive r) {
+  private static int partitionKey(HttpMessage r) {
     Header[] given = r.headers().getHeaders(PARTITION_KEY);
     if (given.length != 1 || given[0].getValue() == null) {
       return -1;
@@ -431,14 +435,14 @@
   }
 
   /** The tenant that holds the one well-formed key of the request, or null. */
-  private Shipper shipperOf(Missive r) {
+  private Tenant tenantOf(HttpMessage r) {
     Header[] given = r.headers().getHeaders(AUTHORIZATION);
     if (given.length != 1 || given[0].getValue() == null) {
       return null;
     }
     String v = given[0].getValue().trim();
     return v.regionMatches(true, 0, BEARER, 0, BEARER.length())
-        ? configuration.shipperOf(v.substring(BEARER.length()).trim())
+        ? configuration.tenantOf(v.substring(BEARER.length()).trim())
         : null;
   }
 
@@ -448,13 +452,14 @@
    * spent frozen makes it older.
    */
   private boolean keysFresh() {
-    return !settings.revocationGlobal() || Quay.now() - node.freshAt() < keysTrusted;
+    return !settings.revocationGlobal() || EventLoop.now() - node.freshAt() < keysTrusted;
   }
 
-  private void stale(Call call) {
+  private void stale(ServerExchange call) {
     tally.stale.increment();
     call.answer(
-        Replies.unavailable("not sure of the keys in force", 0.2 + 0.2 * random.nextDouble()));
+        GatewayResponses.unavailable(
+            "not sure of the keys in force", 0.2 + 0.2 * random.nextDouble()));
   }
 
   // ---------------------------------------------------------------- quotas
@@ -463,10 +468,10 @@
    * Takes a token of the tenant's quota, here or from the owner, then goes on; or does the other
    * thing.
    */
-  private void pay(Passage p, Runnable paid, java.util.function.Consumer<Double> over) {
-    long until = Quay.now() + patience(p);
-    Stores.Taker taker =
-        new Stores.Taker() {
+  private void pay(RequestContext p, Runnable paid, java.util.function.Consumer<Double> over) {
+    long until = EventLoop.now() + patience(p);
+    QuotaCache.Taker taker =
+        new QuotaCache.Taker() {
           private boolean done;
 
           @Override
@@ -487,10 +492,10 @@
             over.accept(retryAfter);
           }
         };
-    stores.want(p.shipper.name(), taker);
+    stores.want(p.tenant.name(), taker);
     if (taker.waits()) {
-      quay.after(
-          until - Quay.now(),
+      eventLoop.after(
+          until - EventLoop.now(),
           () -> {
             if (taker.waits()) {
               taker.over(-1);
@@ -500,27 +505,27 @@
   }
 
   /** How long the core is waited for: it changes hands within about a second. */
-  private long patience(Passage p) {
+  private long patience(RequestContext p) {
     return node.outOfTouch()
         ? CLAIM_LEAST
-        : Math.max(LEAST_LEFT, (p.deadline() - Quay.now()) * 2 / 5);
+        : Math.max(LEAST_LEFT, (p.deadline() - EventLoop.now()) * 2 / 5);
   }
 
   /** Below 0: nobody could say in time whether the tenant has tokens left. */
-  private void overQuota(Passage p, double retryAfter) {
+  private void overQuota(RequestContext p, double retryAfter) {
     if (retryAfter < 0) {
       refuse(p, "the quota's owner did not answer in time");
       return;
     }
     tally.overQuota.increment();
-    finishNotRun(p, Replies.overQuota("the tenant's quota is used up", retryAfter));
+    finishNotRun(p, GatewayResponses.overQuota("the tenant's quota is used up", retryAfter));
   }
 
   /**
    * A node that has just started has its configuration in a moment; what comes before waits a part
    * of its time.
    */
-  private void park(Call call) {
+  private void park(ServerExchange call) {
     parked.add(call);
     long left = 0;
     try {
@@ -528,22 +533,22 @@
     } catch (NumberFormatException e) {
       // Refused at once: nothing says how long it may be kept.
     }
-    quay.after(
+    eventLoop.after(
         Math.min(PARK_MOST, left * 3 / 10),
         () -> {
           if (parked.remove(call)) {
-            call.answer(Replies.unavailable("no configuration yet", 0.3));
+            call.answer(GatewayResponses.unavailable("no configuration yet", 0.3));
           }
         });
   }
 
   /** How long the client says that it will wait, in microseconds. */
-  static long timeLeft(Missive r, long otherwise) {
+  public static long timeLeft(HttpMessage r, long otherwise) {
     String told = r.first(TIME_LEFT);
     return told == null ? otherwise : (long) (1000 * Double.parseDouble(told.trim()));
   }
 
-  private void finish(Passage p, Missive answer) {
+  private void finish(RequestContext p, HttpMessage answer) {
     if (p.finished) {
       return;
     }
@@ -553,30 +558,30 @@
       p.timer.cancel();
     }
     if (p.keyed() && !p.settled) {
-      unrun.add(p.token, Quay.now());
+      unrun.add(p.token, EventLoop.now());
     }
     if (p.hedge != null) {
       p.hedge.cancel();
     }
-    p.fairway.waiting.remove(p);
+    p.endpoints.waiting.remove(p);
     if (p.paid) {
       // Never used: what was taken for a run is given back where none was begun.
-      stores.giveBack(p.shipper.name());
+      stores.giveBack(p.tenant.name());
     }
     p.call.answer(answer);
   }
 
-  private void deadline(Passage p) {
+  private void deadline(RequestContext p) {
     if (p.finished) {
       // Another attempt was answered; this one's worker has had its time.
       abandonOpen(p);
       return;
     }
     tally.timeouts.increment();
-    giveUp(p, Replies.problem(504, "no answer in time"));
+    giveUp(p, GatewayResponses.problem(504, "no answer in time"));
   }
 
-  private void abandonOpen(Passage p) {
+  private void abandonOpen(RequestContext p) {
     for (Attempt a : List.copyOf(p.open)) {
       release(p, a);
       p.mayHaveRun |= a.abandon();
@@ -584,7 +589,7 @@
   }
 
   /** Ends it with attempts open, if any: they may run or have run, and that is never known. */
-  private void giveUp(Passage p, Missive answer) {
+  private void giveUp(RequestContext p, HttpMessage answer) {
     abandonOpen(p);
     if (p.keyed()) {
       settleUnknown(p);
@@ -594,28 +599,28 @@
 
   // ------------------------------------------------------------------ keys
 
-  private void claim(Passage p) {
-    Flag ask =
-        new Flag("ask")
+  private void claim(RequestContext p) {
+    WireRecord ask =
+        new WireRecord("ask")
             .with("op", "claim")
             .with("key", p.key)
             .with("token", p.token)
             .with("holder", settings.internalAddress());
     if (p.counted() && !p.paid) {
-      if (stores.take(p.shipper.name())) {
+      if (stores.take(p.tenant.name())) {
         p.paid = true;
       } else {
-        stores.sign(ask).with("tenant", stores.part(p.shipper.name(), 1));
+        stores.sign(ask).with("tenant", stores.part(p.tenant.name(), 1));
       }
     }
-    long asked = Quay.now();
+    long asked = EventLoop.now();
     atWork.add(p.token);
     node.ask(ask, patience(p), 200_000, r -> claimed(p, r, asked));
   }
 
-  private void claimed(Passage p, Flag r, long asked) {
+  private void claimed(RequestContext p, WireRecord r, long asked) {
     boolean granted = r != null && r.truth("granted");
-    Flag lent = r == null ? null : r.flag("lent");
+    WireRecord lent = r == null ? null : r.nested("lent");
     if (lent != null) {
       stores.lent(r.number("term"), lent, asked, false);
     }
@@ -632,14 +637,15 @@
         double later =
             node.outOfTouch()
                 ? CLAIM_LEAST / 1e6
-                : Math.max(0.05, (p.deadline() - Quay.now()) / 3.5e6);
-        finishNotRun(p, Replies.unavailable("the key could not be claimed in time", later));
+                : Math.max(0.05, (p.deadline() - EventLoop.now()) / 3.5e6);
+        finishNotRun(
+            p, GatewayResponses.unavailable("the key could not be claimed in time", later));
       }
       return;
     }
     if (granted) {
       p.claimed = true;
-      if (!p.counted() || p.paid || stores.take(p.shipper.name())) {
+      if (!p.counted() || p.paid || stores.take(p.tenant.name())) {
         p.paid = p.counted();
         dispatch(p);
       } else {
@@ -656,25 +662,25 @@
   }
 
   /** The key is free, but the owner lent no token for its run. */
-  private void unlent(Passage p, Flag lent) {
+  private void unlent(RequestContext p, WireRecord lent) {
     long half = (p.deadline() - p.call.receivedAt()) / 2;
     if (lent.truth("over")) {
-      overQuota(p, Stores.retryAfter(lent));
-    } else if (p.deadline() - Quay.now() > half) {
-      quay.after(Stores.pause(lent), () -> again(p));
+      overQuota(p, QuotaCache.retryAfter(lent));
+    } else if (p.deadline() - EventLoop.now() > half) {
+      eventLoop.after(QuotaCache.pause(lent), () -> again(p));
     } else {
       overQuota(p, -1);
     }
   }
 
-  private void again(Passage p) {
+  private void again(RequestContext p) {
     if (!p.finished) {
       claim(p);
     }
   }
 
   /** Another try of the operation claimed the key: the node that did so knows how it went. */
-  private void replayFrom(Passage p, String holder, String run) {
+  private void replayFrom(RequestContext p, String holder, String run) {
     if (holder == null || holder.isEmpty() || holder.equals(settings.internalAddress())) {
       replayed(p, run, outcome(p.key, run));
       return;
@@ -683,11 +689,11 @@
         holder,
         p.key,
         run,
-        Math.min(FETCH, Math.max(LEAST_LEFT, p.deadline() - Quay.now() - LEAST_LEFT)),
+        Math.min(FETCH, Math.max(LEAST_LEFT, p.deadline() - EventLoop.now() - LEAST_LEFT)),
         a -> replayed(p, run, a));
   }
 
-  private void replayed(Passage p, String run, Flag a) {
+  private void replayed(RequestContext p, String run, WireRecord a) {
     if (p.finished) {
       return;
     }
@@ -695,46 +701,50 @@
       // The ledger holds a claim that its own node has given up. Freed first, on the connection
       // that claims go on.
       free(p.key, run, r -> {});
-      quay.after(UNRUN_ASKED_AGAIN, () -> again(p));
+      eventLoop.after(UNRUN_ASKED_AGAIN, () -> again(p));
     } else if (a == null || a.kind().equals("unknown")) {
-      finish(p, Replies.problem(502, "an earlier try of this operation has no known outcome"));
+      finish(
+          p,
+          GatewayResponses.problem(502, "an earlier try of this operation has no known outcome"));
     } else if (a.kind().equals("answer")) {
       tally.replays.increment();
       finish(p, replay(a, p));
-    } else if (p.deadline() - Quay.now() > (p.deadline() - p.call.receivedAt()) / 2) {
+    } else if (p.deadline() - EventLoop.now() > (p.deadline() - p.call.receivedAt()) / 2) {
       // Claimed again, for the run may turn out not to have been one.
-      quay.after(WORK_ASKED_AGAIN, () -> again(p));
+      eventLoop.after(WORK_ASKED_AGAIN, () -> again(p));
     } else {
-      finish(p, Replies.problem(409, "the operation is in work").header("Retry-After", "0.1"));
+      finish(
+          p,
+          GatewayResponses.problem(409, "the operation is in work").header("Retry-After", "0.1"));
     }
   }
 
-  private void free(Passage p) {
+  private void free(RequestContext p) {
     p.freed = true;
     free(p.key, p.token, r -> atWork.remove(p.token));
   }
 
   /** Takes a claim out of the ledger that nothing ran under; a claim of another token stays. */
-  private void free(String key, String token, java.util.function.Consumer<Flag> told) {
+  private void free(String key, String token, java.util.function.Consumer<WireRecord> told) {
     node.ask(
-        new Flag("ask").with("op", "free").with("key", key).with("token", token),
+        new WireRecord("ask").with("op", "free").with("key", key).with("token", token),
         3_000_000,
         400_000,
         told);
   }
 
-  private void settleUnknown(Passage p) {
+  private void settleUnknown(RequestContext p) {
     if (p.mayHaveRun) {
-      settle(p, new Flag("unknown"));
+      settle(p, new WireRecord("unknown"));
     } else {
       free(p);
     }
   }
 
-  private void settleDone(Passage p, Missive m) {
+  private void settleDone(RequestContext p, HttpMessage m) {
     settle(
         p,
-        new Flag("answer")
+        new WireRecord("answer")
             .with("status", m.status())
             .with("body", m.body())
             .with("seal", m.first(SEAL))
@@ -742,14 +752,14 @@
   }
 
   /** Keeps the outcome for repeats: the ledger names this node as the one that knows it. */
-  private void settle(Passage p, Flag outcome) {
+  private void settle(RequestContext p, WireRecord outcome) {
     p.settled = true;
-    locker.put(p.key, p.token, outcome, Quay.now());
+    responseCache.put(p.key, p.token, outcome, EventLoop.now());
     atWork.remove(p.token);
   }
 
-  private static Missive replay(Flag a, Passage p) {
-    return Missive.response((int) a.number("status"))
+  private static HttpMessage replay(WireRecord a, RequestContext p) {
+    return HttpMessage.response((int) a.number("status"))
         .header(ATTEMPT_ID, p.call.request().first(ATTEMPT_ID))
         .header(SEAL, a.text("seal"))
         .header("Content-Type", a.text("type"))
@@ -758,23 +768,23 @@
 
   // --------------------------------------------------------------- forward
 
-  private void dispatch(Passage p) {
-    long now = Quay.now();
+  private void dispatch(RequestContext p) {
+    long now = EventLoop.now();
     if (p.finished) {
       return;
     }
-    if (p.shipper != null && !keysFresh()) {
+    if (p.tenant != null && !keysFresh()) {
       tally.stale.increment();
       refuse(p, "not sure of the keys in force");
       return;
     }
-    Hull h = p.fairway.pick(now, p.tried, p.partitionKey);
+    WorkerEndpoint h = p.endpoints.pick(now, p.tried, p.partitionKey);
     if (h == null) {
       if (p.attempts > 0 || now >= p.refuseAt()) {
         refuse(p, "no worker can take the request");
         return;
       }
-      p.fairway.waiting.add(p);
+      p.endpoints.waiting.add(p);
       checkWaiting();
       return;
     }
@@ -790,14 +800,14 @@
     p.open.add(attempt);
     h.took(now);
     tally.forwarded.increment();
-    attempt.tender =
+    attempt.connection =
         h.pool.send(
             toWorker(p, h, left),
             Math.min(CONNECT, left),
             p.repeatable() ? Long.MAX_VALUE : IDLE_ONCE,
-            new Reception() {
+            new ResponseListener() {
               @Override
-              public void answered(Missive response) {
+              public void answered(HttpMessage response) {
                 if (release(p, attempt) && !p.finished) {
                   onAnswer(p, attempt, response);
                 }
@@ -811,7 +821,7 @@
               }
             });
     if (p.repeatable() && p.partitionKey < 0 && p.attempts < p.route.maxAttempts()) {
-      p.hedge = quay.after(hedgeAfter(p.route), () -> hedge(p));
+      p.hedge = eventLoop.after(hedgeAfter(p.route), () -> hedge(p));
     }
   }
 
@@ -824,41 +834,41 @@
    * tried beside itself, if the budget allows. A worker that answers others is only busy, and more
    * load would not help.
    */
-  private void hedge(Passage p) {
-    long now = Quay.now();
+  private void hedge(RequestContext p) {
+    long now = EventLoop.now();
     if (p.finished
         || p.open.size() != 1
         || !p.open.get(0).silent()
         || p.attempts >= p.route.maxAttempts()
         || p.deadline() - now < hedgeAfter(p.route) / 2
-        || p.fairway.pick(now, p.tried) == null
-        || p.counted() && !p.paid && !stores.take(p.shipper.name())) {
+        || p.endpoints.pick(now, p.tried) == null
+        || p.counted() && !p.paid && !stores.take(p.tenant.name())) {
       return;
     }
     p.paid = p.counted();
-    if (p.fairway.purse.spend(now)) {
+    if (p.endpoints.retryBudget.spend(now)) {
       tally.hedges.increment();
       dispatch(p);
     }
   }
 
-  private static Missive toWorker(Passage p, Hull h, long left) {
-    Missive r = p.call.request();
-    Missive m = Missive.request(r.method(), r.target());
+  private static HttpMessage toWorker(RequestContext p, WorkerEndpoint h, long left) {
+    HttpMessage r = p.call.request();
+    HttpMessage m = HttpMessage.request(r.method(), r.target());
     copyHeaders(r, m, true);
     if (p.tenanted) {
       m.headers().removeHeaders(AUTHORIZATION);
     }
     m.header(TIME_LEFT, Long.toString(Math.max(1, left / 1000)));
     m.header(EXPECTED, h.id());
-    if (p.shipper != null) {
-      m.header(TENANT, p.shipper.name());
+    if (p.tenant != null) {
+      m.header(TENANT, p.tenant.name());
     }
     m.body(r.body());
     return m;
   }
 
-  static void copyHeaders(Missive from, Missive to, boolean request) {
+  public static void copyHeaders(HttpMessage from, HttpMessage to, boolean request) {
     Set<String> named = new HashSet<>();
     for (Header h : from.headers().getHeaders("Connection")) {
       for (String n : h.getValue().split(",")) {
@@ -879,30 +889,30 @@
   }
 
   /** Takes the attempt off the books; false if it was off them already. */
-  private boolean release(Passage p, Attempt a) {
+  private boolean release(RequestContext p, Attempt a) {
     if (!p.open.remove(a)) {
       return false;
     }
-    a.hull.released(Quay.now());
-    wake(p.fairway);
+    a.endpoint.released(EventLoop.now());
+    wake(p.endpoints);
     return true;
   }
 
-  private void onAnswer(Passage p, Attempt a, Missive m) {
-    Hull h = a.hull;
+  private void onAnswer(RequestContext p, Attempt a, HttpMessage m) {
+    WorkerEndpoint h = a.endpoint;
     boolean notRun = m.first(NOT_EXECUTED) != null || m.status() == 421;
     boolean success = m.status() / 100 == 2;
     if (!notRun) {
       p.mayHaveRun = true;
-      h.worked(Quay.now());
-      p.fairway.pace.answered(Quay.now() - a.sentAt());
+      h.worked(EventLoop.now());
+      p.endpoints.pace.answered(EventLoop.now() - a.sentAt());
     }
     if (!success && !p.open.isEmpty()) {
       // Another attempt is still at work, and may do better.
       return;
     }
     if (success && m.first(SEAL) == null) {
-      h.failed(Quay.now());
+      h.failed(EventLoop.now());
       if (!p.open.isEmpty()) {
         return;
       }
@@ -912,16 +922,16 @@
     if (notRun) {
       tally.turnedAway.increment();
       p.paid = p.counted() && p.open.isEmpty();
-      if (m.status() == 421 && p.fairway.divided()) {
+      if (m.status() == 421 && p.endpoints.divided()) {
         LOG.debug(
             "event=not_owner service={} key={} instance={}",
-            p.fairway.name,
+            p.endpoints.name,
             p.partitionKey,
             h.id());
       } else if (m.status() == 421) {
-        h.failed(Quay.now());
+        h.failed(EventLoop.now());
       } else {
-        h.shunUntil = Quay.now() + FULL_SHUN;
+        h.shunUntil = EventLoop.now() + FULL_SHUN;
       }
       if (m.status() == 400) {
         finishNotRun(p, forward(m));
@@ -931,7 +941,9 @@
             true,
             () ->
                 finishNotRun(
-                    p, Replies.unavailable("the worker turned the request away", comeBack())));
+                    p,
+                    GatewayResponses.unavailable(
+                        "the worker turned the request away", comeBack())));
       }
       return;
     }
@@ -939,7 +951,7 @@
     if (p.keyed()) {
       if (promises) {
         // Nor may a repeat be told so.
-        settle(p, new Flag("unknown"));
+        settle(p, new WireRecord("unknown"));
       } else {
         settleDone(p, m);
       }
@@ -953,7 +965,7 @@
       if (p.repeatable()) {
         finish(p, forward(m));
       } else {
-        finish(p, Replies.problem(502, "the worker failed"));
+        finish(p, GatewayResponses.problem(502, "the worker failed"));
       }
       return;
     }
@@ -961,8 +973,8 @@
     finish(p, forward(m));
   }
 
-  private static Missive forward(Missive m) {
-    Missive out = Missive.response(m.status()).body(m.body());
+  private static HttpMessage forward(HttpMessage m) {
+    HttpMessage out = HttpMessage.response(m.status()).body(m.body());
     copyHeaders(m, out, false);
     if (m.body().length == 0
         && m.first("Content-Length") != null
@@ -973,15 +985,15 @@
     return out;
   }
 
-  private void onFailure(Passage p, Hull h, boolean written, String why) {
-    h.failed(Quay.now());
+  private void onFailure(RequestContext p, WorkerEndpoint h, boolean written, String why) {
+    h.failed(EventLoop.now());
     tally.failures.increment();
     if (!p.open.isEmpty()) {
       return;
     }
     LOG.debug(
         "event=attempt_failed service={} instance={} written={} why={}",
-        p.fairway.name,
+        p.endpoints.name,
         h.id(),
         written,
         why);
@@ -992,37 +1004,39 @@
       anotherOr(
           p,
           false,
-          () -> finishNotRun(p, Replies.unavailable("no worker could be reached", comeBack())));
+          () ->
+              finishNotRun(
+                  p, GatewayResponses.unavailable("no worker could be reached", comeBack())));
       return;
     }
     broken(p, "the worker broke off");
   }
 
-  private void broken(Passage p, String cause) {
+  private void broken(RequestContext p, String cause) {
     p.mayHaveRun = true;
     if (p.repeatable()) {
-      anotherOr(p, true, () -> finish(p, Replies.problem(502, cause)));
+      anotherOr(p, true, () -> finish(p, GatewayResponses.problem(502, cause)));
       return;
     }
     if (p.keyed()) {
       settleUnknown(p);
     }
-    finish(p, Replies.problem(502, cause));
+    finish(p, GatewayResponses.problem(502, cause));
   }
 
   /** Sends it to another worker if route, time and budget allow; else does the other thing. */
-  private void anotherOr(Passage p, boolean arrived, Runnable otherwise) {
-    long now = Quay.now();
+  private void anotherOr(RequestContext p, boolean arrived, Runnable otherwise) {
+    long now = EventLoop.now();
     boolean allowed =
         p.attempts < Math.max(arrived ? p.route.maxAttempts() : p.route.maxAttempts() + 1, 1)
             && p.deadline() - now > 4 * LEAST_LEFT;
-    if (allowed && p.fairway.divided()) {
+    if (allowed && p.endpoints.divided()) {
       toOwnerAgain(p, arrived, otherwise);
       return;
     }
     if (!allowed
-        || p.fairway.pick(now, p.tried) == null
-        || (arrived && !p.fairway.purse.spend(now))) {
+        || p.endpoints.pick(now, p.tried) == null
+        || (arrived && !p.endpoints.retryBudget.spend(now))) {
       otherwise.run();
       return;
     }
@@ -1030,7 +1044,7 @@
   }
 
   /** Sends it once more, on another token of the quota if the one before was used. */
-  private void retry(Passage p, Runnable otherwise) {
+  private void retry(RequestContext p, Runnable otherwise) {
     tally.retries.increment();
     if (p.counted() && !p.paid) {
       pay(p, () -> dispatch(p), over -> otherwise.run());
@@ -1043,21 +1057,21 @@
    * Only the owner of the key can serve it: it is tried once more a moment later, if word of
    * another has come by then.
    */
-  private void toOwnerAgain(Passage p, boolean arrived, Runnable otherwise) {
-    quay.after(
+  private void toOwnerAgain(RequestContext p, boolean arrived, Runnable otherwise) {
+    eventLoop.after(
         OWNER_AGAIN,
         () -> {
-          long now = Quay.now();
+          long now = EventLoop.now();
           if (p.finished) {
             return;
           }
-          if (p.fairway.pick(now, Set.of(), p.partitionKey) == null
+          if (p.endpoints.pick(now, Set.of(), p.partitionKey) == null
               && now + OWNER_AGAIN < p.refuseAt()) {
             toOwnerAgain(p, arrived, otherwise);
             return;
           }
-          if (p.fairway.pick(now, Set.of(), p.partitionKey) == null
-              || arrived && !p.fairway.purse.spend(now)) {
+          if (p.endpoints.pick(now, Set.of(), p.partitionKey) == null
+              || arrived && !p.endpoints.retryBudget.spend(now)) {
             otherwise.run();
             return;
           }
@@ -1065,12 +1079,12 @@
         });
   }
 
-  private void finishNotRun(Passage p, Missive answer) {
+  private void finishNotRun(RequestContext p, HttpMessage answer) {
     if (p.mayHaveRun && !p.repeatable()) {
       if (p.keyed()) {
         settleUnknown(p);
       }
-      finish(p, Replies.problem(502, "the outcome is not known"));
+      finish(p, GatewayResponses.problem(502, "the outcome is not known"));
       return;
     }
     if (p.claimed && !p.freed) {
@@ -1080,9 +1094,9 @@
   }
 
   /** Answers that the request has not run and never will. */
-  private void refuse(Passage p, String cause) {
+  private void refuse(RequestContext p, String cause) {
     tally.refused.increment();
-    finishNotRun(p, Replies.unavailable(cause, comeBack()));
+    finishNotRun(p, GatewayResponses.unavailable(cause, comeBack()));
   }
 
   private double comeBack() {
@@ -1091,7 +1105,7 @@
 
   // ----------------------------------------------------------------- queue
 
-  private void wake(Fairway f) {
+  private void wake(ServiceEndpoints f) {
     if (f.waiting.isEmpty()) {
       return;
     }
@@ -1099,10 +1113,10 @@
       wakeOwned(f);
       return;
     }
-    quay.after(
+    eventLoop.after(
         0,
         () -> {
-          while (!f.waiting.isEmpty() && f.pick(Quay.now(), Set.of()) != null) {
+          while (!f.waiting.isEmpty() && f.pick(EventLoop.now(), Set.of()) != null) {
             dispatch(f.waiting.poll());
           }
         });
@@ -1111,19 +1125,19 @@
   /**
    * Of those that wait for the owners of their keys, sends the ones whose owner can take them now.
    */
-  private void wakeOwned(Fairway f) {
+  private void wakeOwned(ServiceEndpoints f) {
     if (f.wakeDue) {
       return;
     }
     f.wakeDue = true;
-    quay.after(
+    eventLoop.after(
         0,
         () -> {
           f.wakeDue = false;
-          List<Passage> waiting = new ArrayList<>(f.waiting);
+          List<RequestContext> waiting = new ArrayList<>(f.waiting);
           waiting.sort(f.waiting.comparator());
-          for (Passage p : waiting) {
-            if (f.pick(Quay.now(), Set.of(), p.partitionKey) != null && f.waiting.remove(p)) {
+          for (RequestContext p : waiting) {
+            if (f.pick(EventLoop.now(), Set.of(), p.partitionKey) != null && f.waiting.remove(p)) {
               dispatch(p);
             }
           }
@@ -1135,14 +1149,14 @@
       return;
     }
     waitCheckDue = true;
-    quay.after(
+    eventLoop.after(
         WAIT_CHECK,
         () -> {
           waitCheckDue = false;
-          long now = Quay.now();
+          long now = EventLoop.now();
           boolean more = false;
-          for (Fairway f : fairways.each()) {
-            List<Passage> late = f.takeExpired(now);
+          for (ServiceEndpoints f : services.each()) {
+            List<RequestContext> late = f.takeExpired(now);
             late.forEach(p -> refuse(p, "no worker had room in time"));
             wake(f);
             more |= !f.waiting.isEmpty();
--- a/src/main/java/org/otterpond/cargo/Tally.java
+++ b/src/main/java/org/otterpond/proxy/ProxyMetrics.java
@@ -1,9 +1,9 @@
-package org.otterpond.cargo;
+package org.otterpond.proxy;
 
 import java.util.concurrent.atomic.LongAdder;
 
 /** Counts of the data path; the metrics page reads them. */
-public final class Tally {
+public final class ProxyMetrics {
   public final LongAdder requests = new LongAdder();
   public final LongAdder unrouted = new LongAdder();
   public final LongAdder forwarded = new LongAdder();
--- a/src/main/java/org/otterpond/cargo/Passage.java
+++ b/src/main/java/org/otterpond/proxy/RequestContext.java
@@ -1,27 +1,27 @@
-package org.otterpond.cargo;
+package org.otterpond.proxy;
 
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.List;
 import java.util.Set;
-import org.otterpond.chart.Route;
-import org.otterpond.chart.RouteType;
-import org.otterpond.chart.Shipper;
-import org.otterpond.quay.Call;
-import org.otterpond.quay.Quay;
+import org.otterpond.config.Route;
+import org.otterpond.config.RouteType;
+import org.otterpond.config.Tenant;
+import org.otterpond.net.EventLoop;
+import org.otterpond.net.ServerExchange;
 
 /** One request on its way: where it goes, what it may still try, and until when. */
-final class Passage {
-  final Call call;
+final class RequestContext {
+  final ServerExchange call;
   final Route route;
 
   /**
    * The tenant whose key came with the request; null on public routes and where there are no
    * tenants.
    */
-  final Shipper shipper;
+  final Tenant tenant;
 
-  final Fairway fairway;
+  final ServiceEndpoints endpoints;
   final Set<String> tried = new HashSet<>();
   private final long deadline;
   private final long refuseAt;
@@ -37,8 +37,8 @@
 
   String token;
   final List<Attempt> open = new ArrayList<>();
-  Quay.Timer timer;
-  Quay.Timer hedge;
+  EventLoop.Timer timer;
+  EventLoop.Timer hedge;
   boolean finished;
 
   /** Whether the operation key is this request's. */
@@ -55,22 +55,28 @@
   /** True once a byte of the request may have reached a worker that has not disowned it. */
   boolean mayHaveRun;
 
-  Passage(Call call, Route route, Shipper shipper, Fairway fairway, long deadline, long refuseAt) {
+  RequestContext(
+      ServerExchange call,
+      Route route,
+      Tenant tenant,
+      ServiceEndpoints endpoints,
+      long deadline,
+      long refuseAt) {
     this.call = call;
-    this.shipper = shipper;
+    this.tenant = tenant;
     this.route = route;
-    this.fairway = fairway;
+    this.endpoints = endpoints;
     this.deadline = deadline;
     this.refuseAt = refuseAt;
   }
 
   int priority() {
-    return shipper == null ? route.priority() : shipper.priority();
+    return tenant == null ? route.priority() : tenant.priority();
   }
 
   /** Whether its runs are counted against a quota. */
   boolean counted() {
-    return shipper != null && shipper.limited();
+    return tenant != null && tenant.limited();
   }
 
   long deadline() {
--- a/src/main/java/org/otterpond/cargo/RetryPurse.java
+++ b/src/main/java/org/otterpond/proxy/RetryBudget.java
@@ -1,4 +1,4 @@
-package org.otterpond.cargo;
+package org.otterpond.proxy;
 
 /**
  * What one node may spend on second attempts at one service. A request earns a part of an attempt,
@@ -8,7 +8,7 @@
  * holds for any number of nodes, however few requests each has, and leaves the budget's slack whole
  * for requests that were counted at another moment than they were carried.
  */
-final class RetryPurse {
+final class RetryBudget {
   /** What was earned together expires together, this many times in a window. */
   private static final int SLOTS = 8;
 
@@ -16,7 +16,7 @@
   private final double[] earned = new double[SLOTS];
   private long newest = Long.MIN_VALUE;
 
-  RetryPurse(long windowMicros) {
+  RetryBudget(long windowMicros) {
     this.slotMicros = Math.max(1, windowMicros / SLOTS);
   }
 
--- a/src/main/java/org/otterpond/cargo/Fairway.java
+++ b/src/main/java/org/otterpond/proxy/ServiceEndpoints.java
@@ -1,4 +1,4 @@
-package org.otterpond.cargo;
+package org.otterpond.proxy;
 
 import java.util.ArrayList;
 import java.util.Collection;
@@ -11,18 +11,18 @@
 import java.util.Random;
 import java.util.Set;
 import java.util.TreeMap;
-import org.otterpond.chart.Settings;
-import org.otterpond.harbour.VesselState;
-import org.otterpond.keys.KeyRange;
-import org.otterpond.keys.RangeState;
-import org.otterpond.keys.RangeTable;
-import org.otterpond.lookout.Lookout;
+import org.otterpond.config.NodeSettings;
+import org.otterpond.control.state.WorkerState;
+import org.otterpond.keyrange.KeyRange;
+import org.otterpond.keyrange.KeyRangeState;
+import org.otterpond.keyrange.KeyRangeTable;
+import org.otterpond.outlier.SlowWorkerDetector;
 
 /**
  * One service on this node: its workers, the pick among them, those waiting, the purse and the
  * detector.
  */
-final class Fairway {
+public final class ServiceEndpoints {
   static final long SAMPLE = 20_000;
   private static final int WINDOW = 400;
   private static final double ALPHA_MAX = 0.7;
@@ -32,11 +32,11 @@
   private static final double WARMING_WEIGHT = 0.5;
   private static final int NEAR = 10;
 
-  final String name;
-  final Map<String, Hull> hulls = new LinkedHashMap<>();
-  final RetryPurse purse;
-  final Pace pace = new Pace();
-  final PriorityQueue<Passage> waiting =
+  public final String name;
+  final Map<String, WorkerEndpoint> endpoints = new LinkedHashMap<>();
+  final RetryBudget retryBudget;
+  public final LatencyAverage pace = new LatencyAverage();
+  final PriorityQueue<RequestContext> waiting =
       new PriorityQueue<>(
           (a, b) ->
               a.priority() != b.priority()
@@ -44,39 +44,39 @@
                   : Long.compare(a.deadline(), b.deadline()));
 
   private final Random random;
-  private final Lookout lookout = new Lookout(WINDOW, ALPHA_MAX, CONFIRM);
+  private final SlowWorkerDetector detector = new SlowWorkerDetector(WINDOW, ALPHA_MAX, CONFIRM);
   private final boolean eject;
-  private final List<Hull> ejected = new ArrayList<>();
+  private final List<WorkerEndpoint> ejected = new ArrayList<>();
   private long ejectedUntil;
   private List<String> flagged = List.of();
-  private Berths berths = Berths.alone("");
+  private ZoneShares zoneShares = ZoneShares.alone("");
   private boolean stale = true;
   private final Map<String, Double> zoneWeights = new TreeMap<>();
-  private final Map<String, List<Hull>> nearByZone = new HashMap<>();
+  private final Map<String, List<WorkerEndpoint>> nearByZone = new HashMap<>();
   private int fairPart = 1;
-  private RangeTable ranges;
+  private KeyRangeTable ranges;
   boolean wakeDue;
   private final long drainMost;
 
   /** How many requests of this node one worker may have at once, as each takes a connection. */
   private int connections = Integer.MAX_VALUE;
 
-  Fairway(String name, Random random, Settings settings) {
+  ServiceEndpoints(String name, Random random, NodeSettings settings) {
     this.name = name;
     this.random = random;
     this.eject = settings.ejectSlow();
     this.drainMost = settings.drainMicros() / 2;
-    this.purse = new RetryPurse(settings.retryWindowMicros());
+    this.retryBudget = new RetryBudget(settings.retryWindowMicros());
   }
 
   /** The nodes have come, gone or moved up. */
-  void berths(Berths now) {
-    berths = now;
+  void zoneShares(ZoneShares now) {
+    zoneShares = now;
     stale = true;
   }
 
   /** The callers of a service share what connections its workers take. */
-  void connections(int each) {
+  public void connections(int each) {
     connections = Math.max(1, each);
   }
 
@@ -93,24 +93,24 @@
       return;
     }
     stale = false;
-    Map<String, List<Hull>> byZone = new TreeMap<>();
+    Map<String, List<WorkerEndpoint>> byZone = new TreeMap<>();
     Map<String, Double> slots = new TreeMap<>();
     double total = 0;
-    for (Hull h : hulls.values()) {
-      if (h.vessel.state() == VesselState.IN_SERVICE) {
-        byZone.computeIfAbsent(h.vessel.zone(), z -> new ArrayList<>()).add(h);
-        slots.merge(h.vessel.zone(), (double) slots(h), Double::sum);
+    for (WorkerEndpoint h : endpoints.values()) {
+      if (h.worker.state() == WorkerState.IN_SERVICE) {
+        byZone.computeIfAbsent(h.worker.zone(), z -> new ArrayList<>()).add(h);
+        slots.merge(h.worker.zone(), (double) slots(h), Double::sum);
         total += slots(h);
       }
     }
     nearByZone.clear();
     byZone.forEach((zone, all) -> nearByZone.put(zone, near(all)));
-    double ownSlots = slots.getOrDefault(berths.zone(), 0.0);
+    double ownSlots = slots.getOrDefault(zoneShares.zone(), 0.0);
     // This node's part of its zone's slots, spread over the workers it sends to there.
-    int spread = Math.max(1, nearByZone.getOrDefault(berths.zone(), List.of()).size());
-    fairPart = Math.max(1, (int) (ownSlots / berths.nodesHere() / spread));
+    int spread = Math.max(1, nearByZone.getOrDefault(zoneShares.zone(), List.of()).size());
+    fairPart = Math.max(1, (int) (ownSlots / zoneShares.nodesHere() / spread));
     zoneWeights.clear();
-    double here = berths.share(berths.zone());
+    double here = zoneShares.share(zoneShares.zone());
     if (total == 0 || here <= 0) {
       return;
     }
@@ -120,14 +120,14 @@
     double local = Math.min(1, ownSlots / total / here);
     double spare = 0;
     for (Map.Entry<String, Double> e : slots.entrySet()) {
-      spare += Math.max(0, e.getValue() / total - berths.share(e.getKey()));
+      spare += Math.max(0, e.getValue() / total - zoneShares.share(e.getKey()));
     }
     if (spare <= 0 && local < 1) {
       return;
     }
     for (Map.Entry<String, Double> e : slots.entrySet()) {
-      double over = Math.max(0, e.getValue() / total - berths.share(e.getKey()));
-      double w = e.getKey().equals(berths.zone()) ? local : (1 - local) * over / spare;
+      double over = Math.max(0, e.getValue() / total - zoneShares.share(e.getKey()));
+      double w = e.getKey().equals(zoneShares.zone()) ? local : (1 - local) * over / spare;
       if (w > 0) {
         zoneWeights.put(e.getKey(), w);
       }
@@ -140,18 +140,18 @@
    * each node few enough workers that its own count of requests in flight says something about
    * them.
    */
-  private List<Hull> near(List<Hull> all) {
-    all.sort(Comparator.comparing(Hull::id));
-    List<Hull> out = new ArrayList<>();
-    int from = (int) ((long) berths.rank() * all.size() / berths.nodesHere());
+  private List<WorkerEndpoint> near(List<WorkerEndpoint> all) {
+    all.sort(Comparator.comparing(WorkerEndpoint::id));
+    List<WorkerEndpoint> out = new ArrayList<>();
+    int from = (int) ((long) zoneShares.rank() * all.size() / zoneShares.nodesHere());
     for (int i = 0; i < Math.min(NEAR, all.size()); i++) {
       out.add(all.get((from + i) % all.size()));
     }
     return out;
   }
 
-  private static int slots(Hull h) {
-    return Math.max(1, h.vessel.slots());
+  private static int slots(WorkerEndpoint h) {
+    return Math.max(1, h.worker.slots());
   }
 
   private String drawZone() {
@@ -162,11 +162,11 @@
         return e.getKey();
       }
     }
-    return berths.zone();
+    return zoneShares.zone();
   }
 
   /** The ranges of a service that is divided by keys; null where it is not. */
-  void divided(RangeTable by) {
+  void divided(KeyRangeTable by) {
     ranges = by;
   }
 
@@ -180,22 +180,22 @@
   }
 
   /** The worker for a request with such a key: the owner, and nobody else. */
-  Hull pick(long now, Set<String> tried, int key) {
+  public WorkerEndpoint pick(long now, Set<String> tried, int key) {
     if (ranges == null) {
       return pick(now, tried);
     }
     KeyRange r = ranges.at(name, key);
-    if (r == null || r.state() != RangeState.HELD) {
+    if (r == null || r.state() != KeyRangeState.HELD) {
       return null;
     }
-    Hull h = hulls.get(r.owner());
+    WorkerEndpoint h = endpoints.get(r.owner());
     if (h == null || h.shunUntil > now || h.inFlight >= bound(h)) {
       return null;
     }
     // It keeps its keys until they are taken from it, but nothing may reach it later than its drain
     // time.
     boolean leaving =
-        h.vessel.state() != VesselState.IN_SERVICE && now - h.drainingSince > drainMost;
+        h.worker.state() != WorkerState.IN_SERVICE && now - h.drainingSince > drainMost;
     return leaving ? null : h;
   }
 
@@ -204,14 +204,15 @@
    * ties broken at random; of all zones, where that one has none free of this node's requests but
    * another has.
    */
-  Hull pick(long now, Set<String> tried) {
+  public WorkerEndpoint pick(long now, Set<String> tried) {
     arrange();
     if (!zoneWeights.isEmpty()) {
-      Hull near = pickFrom(now, tried, true, nearByZone.getOrDefault(drawZone(), List.of()));
+      WorkerEndpoint near =
+          pickFrom(now, tried, true, nearByZone.getOrDefault(drawZone(), List.of()));
       if (near != null && near.inFlight < fairPart) {
         return near;
       }
-      Hull any = pickFrom(now, tried, true, hulls.values());
+      WorkerEndpoint any = pickFrom(now, tried, true, endpoints.values());
       if (near != null && (any == null || load(near, now) - load(any, now) < 1)) {
         return near;
       }
@@ -219,16 +220,17 @@
         return any;
       }
     }
-    Hull best = pickFrom(now, tried, true, hulls.values());
-    return best != null ? best : pickFrom(now, tried, false, hulls.values());
+    WorkerEndpoint best = pickFrom(now, tried, true, endpoints.values());
+    return best != null ? best : pickFrom(now, tried, false, endpoints.values());
   }
 
-  private Hull pickFrom(long now, Set<String> tried, boolean heedShunning, Collection<Hull> from) {
-    Hull best = null;
+  private WorkerEndpoint pickFrom(
+      long now, Set<String> tried, boolean heedShunning, Collection<WorkerEndpoint> from) {
+    WorkerEndpoint best = null;
     double bestLoad = Double.MAX_VALUE;
     int ties = 0;
-    for (Hull h : from) {
-      if (h.vessel.state() != VesselState.IN_SERVICE
+    for (WorkerEndpoint h : from) {
+      if (h.worker.state() != WorkerState.IN_SERVICE
           || tried.contains(h.id())
           || (heedShunning && (h.shunUntil > now || h.suspect(now)))
           || h.inFlight >= Math.min(connections, bound(h))) {
@@ -249,16 +251,16 @@
   /**
    * Requests in flight over the weight, where a worker at rest that is warm and unflagged counts 0.
    */
-  private static double load(Hull h, long now) {
+  private static double load(WorkerEndpoint h, long now) {
     double w = weight(h, now);
     return h.inFlight / w + (1 / w - 1);
   }
 
-  private static double weight(Hull h, long now) {
-    return h.weight * (h.vessel.warmUntil() > now ? WARMING_WEIGHT : 1.0);
+  private static double weight(WorkerEndpoint h, long now) {
+    return h.weight * (h.worker.warmUntil() > now ? WARMING_WEIGHT : 1.0);
   }
 
-  private static int bound(Hull h) {
+  private static int bound(WorkerEndpoint h) {
     return slots(h) * 2;
   }
 
@@ -269,8 +271,8 @@
   String observe(long now) {
     arrange();
     Map<String, Double> loads = new HashMap<>();
-    for (Hull h : nearByZone.getOrDefault(berths.zone(), List.of())) {
-      if (h.vessel.state() == VesselState.IN_SERVICE && h.vessel.warmUntil() <= now) {
+    for (WorkerEndpoint h : nearByZone.getOrDefault(zoneShares.zone(), List.of())) {
+      if (h.worker.state() == WorkerState.IN_SERVICE && h.worker.warmUntil() <= now) {
         // Zones are drawn by fixed weights and least outstanding rules only among the near workers
         // of one, so
         // the statistic is taken over those that get most of this node's requests.
@@ -278,12 +280,12 @@
       }
     }
     // What was seen within about one answer time of another sample says the same again.
-    lookout.sample(loads, Math.max(1, pace.usual() / SAMPLE));
+    detector.sample(loads, Math.max(1, pace.usual() / SAMPLE));
     if (now > ejectedUntil) {
       ejected.forEach(h -> h.weight = 1.0);
       ejected.clear();
     }
-    List<String> slow = lookout.verdict().slow();
+    List<String> slow = detector.verdict().slow();
     String line = null;
     if (!slow.isEmpty() && !slow.equals(flagged)) {
       line =
@@ -292,14 +294,14 @@
               + " instance="
               + String.join(",", slow)
               + " share="
-              + Math.round(1000 * lookout.share(slow.get(0))) / 1000.0
+              + Math.round(1000 * detector.share(slow.get(0))) / 1000.0
               + " workers="
               + loads.size();
     }
     flagged = slow;
     if (eject && ejected.isEmpty()) {
       for (String id : slow) {
-        Hull h = hulls.get(id);
+        WorkerEndpoint h = endpoints.get(id);
         h.weight = EJECTED_WEIGHT;
         ejected.add(h);
         ejectedUntil = now + EJECT_SPAN;
@@ -308,9 +310,9 @@
     return line;
   }
 
-  List<Passage> takeExpired(long now) {
-    List<Passage> out = new ArrayList<>();
-    for (Passage p : new ArrayList<>(waiting)) {
+  List<RequestContext> takeExpired(long now) {
+    List<RequestContext> out = new ArrayList<>();
+    for (RequestContext p : new ArrayList<>(waiting)) {
       if (now >= p.refuseAt()) {
         waiting.remove(p);
         out.add(p);
--- a/src/main/java/org/otterpond/cargo/UnrunClaims.java
+++ b/src/main/java/org/otterpond/proxy/UnexecutedKeys.java
@@ -1,4 +1,4 @@
-package org.otterpond.cargo;
+package org.otterpond.proxy;
 
 import java.util.Iterator;
 import java.util.LinkedHashMap;
@@ -10,11 +10,11 @@
  * claim was freed, or the word that frees it may be lost; whoever then asks here learns that there
  * was no run, and need not wait the window out.
  */
-final class UnrunClaims {
+final class UnexecutedKeys {
   private final long windowMicros;
   private final LinkedHashMap<String, Long> endedAt = new LinkedHashMap<>();
 
-  UnrunClaims(long windowMicros) {
+  UnexecutedKeys(long windowMicros) {
     this.windowMicros = windowMicros;
   }
 
--- a/src/main/java/org/otterpond/cargo/WorkerCalls.java
+++ b/src/main/java/org/otterpond/proxy/WorkerClient.java
@@ -1,39 +1,39 @@
-package org.otterpond.cargo;
+package org.otterpond.proxy;
 
 import java.nio.charset.StandardCharsets;
 import java.util.HashMap;
 import java.util.Map;
 import java.util.function.Consumer;
-import org.otterpond.keys.KeeperHost;
-import org.otterpond.quay.Links;
-import org.otterpond.quay.Missive;
-import org.otterpond.quay.Quay;
-import org.otterpond.quay.Reception;
-import org.otterpond.quay.Tender;
-import org.otterpond.quay.TenderPool;
+import org.otterpond.keyrange.KeyRangeRuntime;
+import org.otterpond.net.EventLoop;
+import org.otterpond.net.HttpMessage;
+import org.otterpond.net.PeerTransport;
+import org.otterpond.net.ResponseListener;
+import org.otterpond.net.WorkerConnection;
+import org.otterpond.net.WorkerConnectionPool;
 
 /** Calls to workers for the keeper of the key ranges, on connections of their own. */
-final class WorkerCalls {
+final class WorkerClient {
   private static final String RELEASE = "/-/release";
   private static final String TOKEN = "X-Otterpond-Lease-Transfer";
   private static final long ANSWER_BOUND = 64 * 1024;
   private static final long SWEEP = 2_000_000;
   private static final long UNUSED = 60_000_000;
 
-  private final Quay quay;
+  private final EventLoop eventLoop;
   private final Map<String, Line> lines = new HashMap<>();
 
   private static final class Line {
-    final TenderPool pool;
+    final WorkerConnectionPool pool;
     long usedAt;
 
-    Line(TenderPool pool) {
+    Line(WorkerConnectionPool pool) {
       this.pool = pool;
     }
   }
 
-  WorkerCalls(Quay quay) {
-    this.quay = quay;
+  WorkerClient(EventLoop eventLoop) {
+    this.eventLoop = eventLoop;
   }
 
   /**
@@ -48,7 +48,7 @@
       String path,
       String body,
       long timeout,
-      Consumer<KeeperHost.Answer> answer) {
+      Consumer<KeyRangeRuntime.Answer> answer) {
     Line line;
     try {
       line =
@@ -56,48 +56,51 @@
               address + " " + instance,
               a -> {
                 if (lines.isEmpty()) {
-                  quay.after(SWEEP, this::sweep);
+                  eventLoop.after(SWEEP, this::sweep);
                 }
                 return new Line(
-                    new TenderPool(
-                        quay, Links.address(address), ANSWER_BOUND, Pilotage.ATTEMPT_ID));
+                    new WorkerConnectionPool(
+                        eventLoop,
+                        PeerTransport.address(address),
+                        ANSWER_BOUND,
+                        ProxyHandler.ATTEMPT_ID));
               });
     } catch (RuntimeException e) {
-      answer.accept(new KeeperHost.Answer(0, null, false));
+      answer.accept(new KeyRangeRuntime.Answer(0, null, false));
       return;
     }
-    line.usedAt = Quay.now();
-    Missive m =
-        Missive.request("POST", path)
+    line.usedAt = EventLoop.now();
+    HttpMessage m =
+        HttpMessage.request("POST", path)
             .header("Host", address)
             .header("Content-Type", "application/json")
             .body(body.getBytes(StandardCharsets.UTF_8));
     boolean[] done = {false};
-    Tender[] tender = {null};
-    Quay.Timer timer =
-        quay.after(
+    WorkerConnection[] connection = {null};
+    EventLoop.Timer timer =
+        eventLoop.after(
             timeout,
             () -> {
               if (!done[0]) {
                 done[0] = true;
-                if (tender[0] != null) {
-                  tender[0].abandon();
+                if (connection[0] != null) {
+                  connection[0].abandon();
                 }
-                answer.accept(new KeeperHost.Answer(0, null, true));
+                answer.accept(new KeyRangeRuntime.Answer(0, null, true));
               }
             });
-    tender[0] =
+    connection[0] =
         line.pool.send(
             m,
             timeout,
-            path.equals(RELEASE) ? TenderPool.NEW_ONLY : Long.MAX_VALUE,
-            new Reception() {
+            path.equals(RELEASE) ? WorkerConnectionPool.NEW_ONLY : Long.MAX_VALUE,
+            new ResponseListener() {
               @Override
-              public void answered(Missive r) {
+              public void answered(HttpMessage r) {
                 if (!done[0]) {
                   done[0] = true;
                   timer.cancel();
-                  answer.accept(new KeeperHost.Answer(r.status(), r.first(TOKEN), true));
+                  answer.accept(new KeyRangeRuntime.Answer(r.status(), r.first(TOKEN), true));
                 }
               }
 
@@ -106,14 +109,14 @@
                 if (!done[0]) {
                   done[0] = true;
                   timer.cancel();
-                  answer.accept(new KeeperHost.Answer(0, null, written));
+                  answer.accept(new KeyRangeRuntime.Answer(0, null, written));
                 }
               }
             });
   }
 
   private void sweep() {
-    long now = Quay.now();
+    long now = EventLoop.now();
     lines
         .values()
         .removeIf(
@@ -126,7 +129,7 @@
               return false;
             });
     if (!lines.isEmpty()) {
-      quay.after(SWEEP, this::sweep);
+      eventLoop.after(SWEEP, this::sweep);
     }
   }
 }
--- a/src/main/java/org/otterpond/cargo/Hull.java
+++ b/src/main/java/org/otterpond/proxy/WorkerEndpoint.java
@@ -1,10 +1,10 @@
-package org.otterpond.cargo;
+package org.otterpond.proxy;
 
-import org.otterpond.harbour.Vessel;
-import org.otterpond.quay.TenderPool;
+import org.otterpond.control.state.WorkerInstance;
+import org.otterpond.net.WorkerConnectionPool;
 
 /** One worker as this node's data path sees it. */
-final class Hull {
+public final class WorkerEndpoint {
   private static final long SUSPECT_LEAST = 350_000;
 
   /**
@@ -13,9 +13,9 @@
    */
   private static final double SUSPECT_WORK = 4;
 
-  Vessel vessel;
-  final TenderPool pool;
-  private final Pace pace;
+  public WorkerInstance worker;
+  public final WorkerConnectionPool pool;
+  private final LatencyAverage pace;
   int inFlight;
 
   /** Since when it says that it leaves; 0 while it does not. */
@@ -27,29 +27,29 @@
   private double unanswered;
 
   private long countedAt;
-  long shunUntil;
+  public long shunUntil;
   int failuresInRow;
 
   /** Lowered while the slow-worker flag stands. */
   double weight = 1.0;
 
-  Hull(Vessel vessel, TenderPool pool, Pace pace) {
-    this.vessel = vessel;
+  WorkerEndpoint(WorkerInstance worker, WorkerConnectionPool pool, LatencyAverage pace) {
+    this.worker = worker;
     this.pool = pool;
     this.pace = pace;
   }
 
-  String id() {
-    return vessel.id();
+  public String id() {
+    return worker.id();
   }
 
   /** A connection that failed: keep away for a little, longer each time. */
-  void failed(long now) {
+  public void failed(long now) {
     failuresInRow = Math.min(failuresInRow + 1, 6);
     shunUntil = now + (100_000L << failuresInRow);
   }
 
-  void worked(long now) {
+  public void worked(long now) {
     failuresInRow = 0;
     shunUntil = 0;
     quietSince = now;
@@ -57,7 +57,7 @@
     countedAt = now;
   }
 
-  void took(long now) {
+  public void took(long now) {
     if (inFlight == 0) {
       quietSince = now;
       unanswered = 0;
@@ -68,7 +68,7 @@
     inFlight++;
   }
 
-  void released(long now) {
+  public void released(long now) {
     unanswered = unanswered(now);
     countedAt = now;
     inFlight--;
--- a/src/main/java/org/otterpond/cargo/Berths.java
+++ b/src/main/java/org/otterpond/proxy/ZoneShares.java
@@ -1,4 +1,4 @@
-package org.otterpond.cargo;
+package org.otterpond.proxy;
 
 import java.util.Map;
 
@@ -6,9 +6,9 @@
  * Where the nodes of the fleet stand: how many in each zone, and this one's place among those of
  * its own.
  */
-record Berths(String zone, Map<String, Integer> nodesInZone, int rank) {
-  static Berths alone(String zone) {
-    return new Berths(zone, Map.of(zone, 1), 0);
+record ZoneShares(String zone, Map<String, Integer> nodesInZone, int rank) {
+  static ZoneShares alone(String zone) {
+    return new ZoneShares(zone, Map.of(zone, 1), 0);
   }
 
   int nodes() {
--- a/src/main/java/org/otterpond/replica/GroupView.java
+++ b/src/main/java/org/otterpond/replication/GroupConfiguration.java
@@ -1,8 +1,8 @@
-package org.otterpond.replica;
+package org.otterpond.replication;
 
 import java.util.ArrayList;
 import java.util.List;
-import org.otterpond.signal.Flag;
+import org.otterpond.protocol.WireRecord;
 
 /**
  * The configuration of one replica group as the configuration manager installed it: a version, the
@@ -10,10 +10,10 @@
  * only says whom to take in). A member is named by its disk and its address: a machine whose disk
  * was wiped is another member.
  */
-public record GroupView(
+public record GroupConfiguration(
     int group, long version, String primary, List<String> secondaries, List<String> wanted) {
-  public static GroupView of(Flag f) {
-    return new GroupView(
+  public static GroupConfiguration of(WireRecord f) {
+    return new GroupConfiguration(
         (int) f.number("group"),
         f.number("version"),
         f.text("primary"),
@@ -27,8 +27,8 @@
     return List.copyOf(out);
   }
 
-  public Flag toFlag(String kind) {
-    return new Flag(kind)
+  public WireRecord toWireRecord(String kind) {
+    return new WireRecord(kind)
         .with("group", group)
         .with("version", version)
         .with("primary", primary)
@@ -56,25 +56,26 @@
   }
 
   /** The next version with another primary and other secondaries. */
-  public GroupView next(String newPrimary, List<String> newSecondaries) {
-    return new GroupView(group, version + 1, newPrimary, List.copyOf(newSecondaries), wanted);
+  public GroupConfiguration next(String newPrimary, List<String> newSecondaries) {
+    return new GroupConfiguration(
+        group, version + 1, newPrimary, List.copyOf(newSecondaries), wanted);
   }
 
-  public GroupView without(String member) {
+  public GroupConfiguration without(String member) {
     return next(primary, secondaries.stream().filter(s -> !s.equals(member)).toList());
   }
 
-  public GroupView with(String member) {
+  public GroupConfiguration with(String member) {
     List<String> more = new ArrayList<>(secondaries);
     more.add(member);
     return next(primary, more);
   }
 
-  public GroupView wanting(List<String> now) {
-    return new GroupView(group, version, primary, secondaries, List.copyOf(now));
+  public GroupConfiguration wanting(List<String> now) {
+    return new GroupConfiguration(group, version, primary, secondaries, List.copyOf(now));
   }
 
-  public boolean sameMembers(GroupView o) {
+  public boolean sameMembers(GroupConfiguration o) {
     return primary.equals(o.primary) && secondaries.equals(o.secondaries);
   }
 }
--- a/src/main/java/org/otterpond/replica/PreparedList.java
+++ b/src/main/java/org/otterpond/replication/PreparedList.java
@@ -1,21 +1,21 @@
-package org.otterpond.replica;
+package org.otterpond.replication;
 
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
 import java.util.function.LongConsumer;
-import org.otterpond.signal.Flag;
+import org.otterpond.protocol.WireRecord;
 
 /**
  * The prepared list of one replica and its committed point. Entries are kept in memory until they
  * are committed; each is in the journal before it counts as prepared here.
  */
 final class PreparedList {
-  private record Entry(Flag what, long[] place) {}
+  private record Entry(WireRecord what, long[] place) {}
 
   private final int group;
-  private final GroupHost host;
+  private final ReplicaGroupRuntime host;
   private final StateMachine machine;
   private final TreeMap<Long, Entry> pending = new TreeMap<>();
   private long last;
@@ -33,7 +33,7 @@
 
   private boolean gap;
 
-  PreparedList(int group, GroupHost host, StateMachine machine) {
+  PreparedList(int group, ReplicaGroupRuntime host, StateMachine machine) {
     this.group = group;
     this.host = host;
     this.machine = machine;
@@ -53,8 +53,8 @@
   }
 
   /** Those after a serial number, at most so many. */
-  List<Flag> after(long serial, int most) {
-    List<Flag> out = new ArrayList<>();
+  List<WireRecord> after(long serial, int most) {
+    List<WireRecord> out = new ArrayList<>();
     for (Map.Entry<Long, Entry> e : pending.tailMap(serial, false).entrySet()) {
       if (out.size() >= most) {
         break;
@@ -65,13 +65,13 @@
   }
 
   /** Adds the next entry; the task runs once it is durable. */
-  void insert(Flag entry, long version, Runnable kept, Runnable failed) {
+  void insert(WireRecord entry, long version, Runnable kept, Runnable failed) {
     long serial = ++last;
     Entry e = new Entry(entry, new long[] {-1});
     pending.put(serial, e);
     long g = generation;
     host.journal(
-        new Flag("prep")
+        new WireRecord("prep")
             .with("group", group)
             .with("version", version)
             .with("serial", serial)
@@ -109,7 +109,7 @@
       pending.tailMap(to, false).clear();
       last = to;
       durable = Math.min(durable, to);
-      host.journal(new Flag("trunc").with("group", group).with("serial", to), place -> {});
+      host.journal(new WireRecord("trunc").with("group", group).with("serial", to), place -> {});
     }
   }
 
@@ -125,7 +125,7 @@
   // ---------------------------------------------------------------- replay
 
   /** An entry as the journal has it. */
-  void replayed(long serial, Flag entry, long point, long place) {
+  void replayed(long serial, WireRecord entry, long point, long place) {
     if (serial <= committed) {
       return;
     }
@@ -161,8 +161,8 @@
   }
 
   /** What a fresh segment of the journal must say of this list, so that older ones can go. */
-  Flag meta(String kind) {
-    return new Flag(kind).with("group", group).with("point", committed);
+  WireRecord meta(String kind) {
+    return new WireRecord(kind).with("group", group).with("point", committed);
   }
 
   /**
@@ -172,7 +172,7 @@
     pending.forEach(
         (serial, e) ->
             host.journal(
-                new Flag("prep")
+                new WireRecord("prep")
                     .with("group", group)
                     .with("version", version)
                     .with("serial", serial)
--- a/src/main/java/org/otterpond/replica/ReplicaGroup.java
+++ b/src/main/java/org/otterpond/replication/ReplicaGroup.java
@@ -1,11 +1,11 @@
-package org.otterpond.replica;
+package org.otterpond.replication;
 
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import org.otterpond.signal.Flag;
+import org.otterpond.protocol.WireRecord;
 
 /**
  * One replica of one group, after PacificA: the primary gives serial numbers and commits what every
@@ -21,12 +21,12 @@
 
   private final int id;
   private final String me;
-  private final GroupHost host;
-  private final GroupTimes times;
+  private final ReplicaGroupRuntime host;
+  private final ReplicaGroupTimeouts times;
   private final StateMachine machine;
   private final PreparedList list;
 
-  private GroupView view;
+  private GroupConfiguration view;
 
   /**
    * Whether this replica's state is whole: from the founding, from a transfer that ended, or from
@@ -76,7 +76,8 @@
   private boolean copyKept;
   private long piecesTaken;
 
-  private record Update(Flag entry, boolean needsCopies, Runnable committed, Runnable refused) {}
+  private record Update(
+      WireRecord entry, boolean needsCopies, Runnable committed, Runnable refused) {}
 
   private static final class Follower {
     /** A candidate until the configuration has it. */
@@ -101,7 +102,12 @@
     long lostAt;
   }
 
-  public ReplicaGroup(int id, String me, GroupHost host, GroupTimes times, StateMachine machine) {
+  public ReplicaGroup(
+      int id,
+      String me,
+      ReplicaGroupRuntime host,
+      ReplicaGroupTimeouts times,
+      StateMachine machine) {
     this.id = id;
     this.me = me;
     this.host = host;
@@ -167,7 +173,7 @@
     return b.toString();
   }
 
-  public GroupView view() {
+  public GroupConfiguration view() {
     return view;
   }
 
@@ -214,7 +220,7 @@
   // --------------------------------------------------------- configuration
 
   /** Takes the manager's news, which come in its order. */
-  public void learn(GroupView v) {
+  public void learn(GroupConfiguration v) {
     if (view != null && v.version() == view.version()) {
       view = view.wanting(v.wanted());
     } else {
@@ -227,7 +233,7 @@
    * may change within a version: what is heard of the version in force may be older than the news,
    * and says nothing new.
    */
-  private void hear(GroupView v) {
+  private void hear(GroupConfiguration v) {
     if (view != null && v.version() <= view.version()) {
       return;
     }
@@ -236,7 +242,7 @@
     if (view == null && v.version() == 1 && v.has(me)) {
       whole = true;
     }
-    GroupView before = view;
+    GroupConfiguration before = view;
     view = v;
     deposing = false;
     handingOver = false;
@@ -245,7 +251,7 @@
     adoptedAt = host.now();
     beaconAt = host.now();
     if (v.has(me) && whole || before != null && before.has(me)) {
-      host.journal(v.toFlag("view"), place -> {});
+      host.journal(v.toWireRecord("view"), place -> {});
     }
     if (!v.primary().equals(me)) {
       deposed();
@@ -269,7 +275,7 @@
     whole = false;
     machine.clear();
     list.reset(0);
-    host.journal(new Flag("drop").with("group", id), place -> {});
+    host.journal(new WireRecord("drop").with("group", id), place -> {});
   }
 
   private void deposed() {
@@ -290,7 +296,7 @@
     }
   }
 
-  private void propose(GroupView next) {
+  private void propose(GroupConfiguration next) {
     long now = host.now();
     if (proposing && now - proposedAt < 4 * PROPOSE_AGAIN || now - proposedAt < PROPOSE_AGAIN) {
       return;
@@ -349,11 +355,11 @@
     f.sent = list.last();
     host.send(
         member,
-        new Flag("g.reconcile")
+        new WireRecord("g.reconcile")
             .with("group", id)
-            .with("view", view.toFlag("view"))
+            .with("view", view.toWireRecord("view"))
             .with("point", list.committed())
-            .withFlags("entries", list.after(list.committed(), Integer.MAX_VALUE)));
+            .withRecords("entries", list.after(list.committed(), Integer.MAX_VALUE)));
   }
 
   /**
@@ -363,7 +369,7 @@
    * @param needsCopies whether it must wait until there are as many replicas as there should be
    * @param refused told if it was not prepared and will not be
    */
-  public void update(Flag entry, boolean needsCopies, Runnable committed, Runnable refused) {
+  public void update(WireRecord entry, boolean needsCopies, Runnable committed, Runnable refused) {
     if (!primary()) {
       refused.run();
       return;
@@ -413,23 +419,23 @@
       return;
     }
     while (f.sent < list.last()) {
-      List<Flag> entries = batch(f.sent);
+      List<WireRecord> entries = batch(f.sent);
       f.sentAt = host.now();
       host.send(
           member,
-          new Flag("g.prepare")
+          new WireRecord("g.prepare")
               .with("group", id)
               .with("version", view.version())
               .with("first", f.sent + 1)
               .with("point", list.committed())
               .with("transfer", f.candidate ? f.transfer : null)
-              .withFlags("entries", entries));
+              .withRecords("entries", entries));
       f.sent += entries.size();
     }
   }
 
-  private List<Flag> batch(long after) {
-    List<Flag> all = list.after(after, BATCH);
+  private List<WireRecord> batch(long after) {
+    List<WireRecord> all = list.after(after, BATCH);
     int bytes = 0;
     for (int i = 0; i < all.size(); i++) {
       byte[] b = all.get(i).bytes("body");
@@ -499,7 +505,7 @@
     }
     followers.forEach(
         (m, f) -> {
-          if (GroupView.addressOf(m).equals(address)) {
+          if (GroupConfiguration.addressOf(m).equals(address)) {
             f.lostAt = host.now();
           }
         });
@@ -510,7 +516,7 @@
             e ->
                 e.getValue().candidate
                     && !e.getValue().mayBeMember
-                    && GroupView.addressOf(e.getKey()).equals(address));
+                    && GroupConfiguration.addressOf(e.getKey()).equals(address));
   }
 
   // ------------------------------------------------------------------ time
@@ -677,7 +683,7 @@
             .filter(m -> view.secondaries().contains(m))
             .findFirst()
             .orElse(view.secondaries().get(0));
-    GroupView v =
+    GroupConfiguration v =
         view.next(next, view.secondaries().stream().filter(s -> !s.equals(next)).toList());
     proposing = true;
     proposedAt = host.now();
@@ -703,9 +709,10 @@
         });
   }
 
-  private void tellView(String member, GroupView v) {
+  private void tellView(String member, GroupConfiguration v) {
     if (!member.equals(me)) {
-      host.send(member, new Flag("g.view").with("group", id).with("view", v.toFlag("view")));
+      host.send(
+          member, new WireRecord("g.view").with("group", id).with("view", v.toWireRecord("view")));
     }
   }
 
@@ -723,15 +730,15 @@
     long t = f.transfer;
     host.send(
         member,
-        new Flag("g.copy")
+        new WireRecord("g.copy")
             .with("group", id)
-            .with("view", view.toFlag("view"))
+            .with("view", view.toWireRecord("view"))
             .with("from", me)
             .with("transfer", t)
             .with("point", point));
     // It takes live prepares while the state before them is on its way.
     ship(member, f);
-    List<Flag> pieces = new ArrayList<>();
+    List<WireRecord> pieces = new ArrayList<>();
     int[] bytes = {0};
     long[] number = {0};
     machine.export(
@@ -748,12 +755,12 @@
             f.progressAt = host.now();
             host.send(
                 member,
-                new Flag("g.pieces")
+                new WireRecord("g.pieces")
                     .with("group", id)
                     .with("transfer", t)
                     .with("number", number[0]++)
                     .with("whole", piece == null ? true : null)
-                    .withFlags("pieces", pieces));
+                    .withRecords("pieces", pieces));
             pieces.clear();
             bytes[0] = 0;
           }
@@ -793,9 +800,9 @@
     }
   }
 
-  public void onMessage(String from, Flag f) {
+  public void onMessage(String from, WireRecord f) {
     switch (f.kind()) {
-      case "g.view" -> hear(GroupView.of(f.flag("view")));
+      case "g.view" -> hear(GroupConfiguration.of(f.nested("view")));
       case "g.reconcile" -> onReconcile(f);
       case "g.prepare" -> onPrepare(f);
       case "g.copy" -> onCopy(f);
@@ -805,8 +812,8 @@
     }
   }
 
-  private void onReconcile(Flag f) {
-    GroupView v = GroupView.of(f.flag("view"));
+  private void onReconcile(WireRecord f) {
+    GroupConfiguration v = GroupConfiguration.of(f.nested("view"));
     hear(v);
     if (view.version() != v.version() || !secondary() || !whole || broken) {
       if (view.version() > v.version()) {
@@ -830,11 +837,11 @@
     list.truncate(keep);
     reconciledVersion = v.version();
     host.journal(
-        new Flag("reconciled").with("group", id).with("version", v.version()), place -> {});
-    List<Flag> entries = f.flags("entries");
+        new WireRecord("reconciled").with("group", id).with("version", v.version()), place -> {});
+    List<WireRecord> entries = f.records("entries");
     long serial = point;
     boolean any = false;
-    for (Flag e : entries) {
+    for (WireRecord e : entries) {
       serial++;
       if (serial > keep) {
         any = true;
@@ -846,14 +853,14 @@
     }
   }
 
-  private void acknowledge(GroupView v, Long ofTransfer, boolean reconciling) {
+  private void acknowledge(GroupConfiguration v, Long ofTransfer, boolean reconciling) {
     String to = ofTransfer == null ? v.primary() : source;
     if (to == null || view.version() != v.version() && ofTransfer == null) {
       return;
     }
     host.send(
         to,
-        new Flag("g.prepared")
+        new WireRecord("g.prepared")
             .with("group", id)
             .with("version", v.version())
             .with("member", me)
@@ -862,7 +869,7 @@
             .with("copied", ofTransfer != null && copyKept ? true : null));
   }
 
-  private void onPrepare(Flag f) {
+  private void onPrepare(WireRecord f) {
     boolean asCandidate = f.has("transfer") && source != null && transfer == f.number("transfer");
     boolean asSecondary =
         secondary() && view.version() == f.number("version") && reconciledVersion == view.version();
@@ -870,9 +877,9 @@
       return;
     }
     long serial = f.number("first");
-    GroupView v = view;
+    GroupConfiguration v = view;
     Long t = asSecondary ? null : transfer;
-    List<Flag> entries = f.flags("entries");
+    List<WireRecord> entries = f.records("entries");
     if (serial > list.last() + 1) {
       return;
     }
@@ -898,7 +905,7 @@
     list.commit(f.number("point"));
   }
 
-  private void onPrepared(Flag f) {
+  private void onPrepared(WireRecord f) {
     Follower w = followers.get(f.text("member"));
     if (!primary() || w == null) {
       return;
@@ -930,8 +937,8 @@
 
   // --------------------------------------------------------- being brought up
 
-  private void onCopy(Flag f) {
-    GroupView v = GroupView.of(f.flag("view"));
+  private void onCopy(WireRecord f) {
+    GroupConfiguration v = GroupConfiguration.of(f.nested("view"));
     if (view == null) {
       view = v;
     } else {
@@ -948,24 +955,25 @@
     broken = false;
     machine.clear();
     list.reset(f.number("point"));
-    host.journal(new Flag("copy").with("group", id).with("point", f.number("point")), place -> {});
+    host.journal(
+        new WireRecord("copy").with("group", id).with("point", f.number("point")), place -> {});
   }
 
-  private void onPieces(String from, Flag f) {
+  private void onPieces(String from, WireRecord f) {
     // One that is missing was lost with its connection: without it the copy is none, and the
     // transfer fails.
     if (source == null
         || transfer != f.number("transfer")
         || whole
         || f.number("number") != piecesTaken
-        || !GroupView.addressOf(source).equals(from)) {
+        || !GroupConfiguration.addressOf(source).equals(from)) {
       return;
     }
     piecesTaken++;
-    List<Flag> pieces = f.flags("pieces");
-    for (Flag p : pieces) {
+    List<WireRecord> pieces = f.records("pieces");
+    for (WireRecord p : pieces) {
       host.journal(
-          new Flag("piece").with("group", id).with("piece", p),
+          new WireRecord("piece").with("group", id).with("piece", p),
           place -> {
             if (place >= 0 && source != null) {
               machine.load(p, place);
@@ -977,7 +985,7 @@
       // Entries that come meanwhile follow the pieces into the journal.
       whole = true;
       host.journal(
-          view.toFlag("copied"),
+          view.toWireRecord("copied"),
           place -> {
             if (place >= 0 && source != null && transfer == t) {
               copyKept = true;
@@ -990,13 +998,13 @@
   // ---------------------------------------------------------------- replay
 
   /** One record of the journal, in its order. */
-  public void replay(Flag f, long place) {
+  public void replay(WireRecord f, long place) {
     switch (f.kind()) {
       case "view" -> {
-        view = GroupView.of(f);
+        view = GroupConfiguration.of(f);
         whole |= view.version() == 1;
       }
-      case "prep" -> list.replayed(f.number("serial"), f.flag("entry"), f.number("point"), place);
+      case "prep" -> list.replayed(f.number("serial"), f.nested("entry"), f.number("point"), place);
       case "reconciled" -> reconciledVersion = f.number("version");
       case "trunc" -> list.replayedTruncation(f.number("serial"));
       case "copy" -> {
@@ -1004,13 +1012,13 @@
         machine.clear();
         list.reset(f.number("point"));
       }
-      case "piece" -> machine.load(f.flag("piece"), place);
+      case "piece" -> machine.load(f.nested("piece"), place);
       case "copied" -> {
-        view = GroupView.of(f);
+        view = GroupConfiguration.of(f);
         whole = true;
       }
       case "meta" -> {
-        view = GroupView.of(f.flag("view"));
+        view = GroupConfiguration.of(f.nested("view"));
         whole = true;
         list.replayedMeta(f.number("point"));
       }
@@ -1046,9 +1054,9 @@
   }
 
   /** What a fresh segment must begin with, or null if this node holds nothing of the group. */
-  public Flag meta() {
+  public WireRecord meta() {
     return whole && view != null && view.has(me)
-        ? list.meta("meta").with("view", view.toFlag("view"))
+        ? list.meta("meta").with("view", view.toWireRecord("view"))
         : null;
   }
 
--- a/src/main/java/org/otterpond/replica/GroupTimes.java
+++ b/src/main/java/org/otterpond/replication/ReplicaGroupTimeouts.java
@@ -1,4 +1,4 @@
-package org.otterpond.replica;
+package org.otterpond.replication;
 
 /**
  * Times of a replica group, in microseconds. The lease runs on the primary from the sending of a
@@ -6,11 +6,11 @@
  * later. So the lease ends first as long as the grace is at least the lease times the bound on the
  * drift between two clocks.
  */
-public record GroupTimes(long beacon, long lease, long grace, long stall, long resend) {
+public record ReplicaGroupTimeouts(long beacon, long lease, long grace, long stall, long resend) {
   /** Two clocks of the machines differ in speed by this at most, in parts of one. */
   static final double DRIFT = 0.02;
 
-  public GroupTimes {
+  public ReplicaGroupTimeouts {
     if (grace < lease * (1 + DRIFT)) {
       throw new IllegalArgumentException("grace: below the lease and the drift of clocks");
     }
@@ -19,7 +19,7 @@
     }
   }
 
-  public static GroupTimes standard() {
-    return new GroupTimes(150_000, 500_000, 620_000, 800_000, 250_000);
+  public static ReplicaGroupTimeouts standard() {
+    return new ReplicaGroupTimeouts(150_000, 500_000, 620_000, 800_000, 250_000);
   }
 }
--- a/src/main/java/org/otterpond/replica/StateMachine.java
+++ b/src/main/java/org/otterpond/replication/StateMachine.java
@@ -1,7 +1,7 @@
-package org.otterpond.replica;
+package org.otterpond.replication;
 
 import java.util.function.Consumer;
-import org.otterpond.signal.Flag;
+import org.otterpond.protocol.WireRecord;
 
 /**
  * What a replica group replicates. It sees committed entries only, in the order of their serial
@@ -12,7 +12,7 @@
    * @param serial its serial number
    * @param place where the entry stands on this disk
    */
-  void apply(Flag entry, long serial, long place);
+  void apply(WireRecord entry, long serial, long place);
 
   /** Forgets everything. */
   void clear();
@@ -21,10 +21,10 @@
    * Hands out the state, piece by piece and then null; what is applied meanwhile may or may not be
    * in it.
    */
-  void export(Consumer<Flag> piece);
+  void export(Consumer<WireRecord> piece);
 
   /** Takes a piece of the state; one that is known already changes nothing. */
-  void load(Flag piece, long place);
+  void load(WireRecord piece, long place);
 
   /** This replica began or ceased to serve as primary. */
   void serving(boolean is);
--- a/src/main/java/org/otterpond/keel/HarbourOffice.java
+++ b/src/main/java/org/otterpond/server/ControlApiHandler.java
@@ -1,28 +1,28 @@
-package org.otterpond.keel;
+package org.otterpond.server;
 
 import com.google.gson.JsonArray;
 import com.google.gson.JsonElement;
 import com.google.gson.JsonObject;
 import java.nio.charset.StandardCharsets;
 import java.util.function.Consumer;
-import org.otterpond.chart.ChartException;
-import org.otterpond.chart.Fields;
-import org.otterpond.chart.Limits;
-import org.otterpond.harbour.EpochRecord;
-import org.otterpond.harbour.HarbourNode;
-import org.otterpond.harbour.Vessel;
-import org.otterpond.harbour.VesselState;
-import org.otterpond.quay.Call;
-import org.otterpond.quay.CallHandler;
-import org.otterpond.quay.Missive;
-import org.otterpond.quay.Quay;
-import org.otterpond.quay.Replies;
-import org.otterpond.signal.Bale;
-import org.otterpond.signal.Flag;
-import org.otterpond.signal.SignalException;
+import org.otterpond.config.ClientLimits;
+import org.otterpond.config.ConfigException;
+import org.otterpond.config.JsonFields;
+import org.otterpond.control.agent.ControlPlaneAgent;
+import org.otterpond.control.state.EpochRecord;
+import org.otterpond.control.state.WorkerInstance;
+import org.otterpond.control.state.WorkerState;
+import org.otterpond.net.EventLoop;
+import org.otterpond.net.GatewayResponses;
+import org.otterpond.net.HttpMessage;
+import org.otterpond.net.RequestHandler;
+import org.otterpond.net.ServerExchange;
+import org.otterpond.protocol.CompressedPayload;
+import org.otterpond.protocol.ProtocolException;
+import org.otterpond.protocol.WireRecord;
 
 /** The control point: workers' beats, the operator's calls, status and metrics. */
-final class HarbourOffice implements CallHandler {
+final class ControlApiHandler implements RequestHandler {
   private static final String BEAT = "/-/Instances.Heartbeat/";
   private static final String LEAVE = "/-/Instances.Deregister/";
   private static final String RETIRE = "/-/Retire.Begin/";
@@ -32,28 +32,29 @@
   private static final int BIG_TEXT = 64 * 1024;
   private static final long RESEND = 250_000;
   private static final long BIG_RESEND = 1_200_000;
-  private static final Limits LIMITS = new Limits(32 * 1024, 16L << 20, 5_000_000, 20_000_000);
+  private static final ClientLimits LIMITS =
+      new ClientLimits(32 * 1024, 16L << 20, 5_000_000, 20_000_000);
 
-  private final HarbourNode node;
+  private final ControlPlaneAgent node;
   private final MetricsPage metrics;
 
   /** All nodes of a deployment listen at the same ports. */
   private final String controlPort;
 
-  HarbourOffice(HarbourNode node, MetricsPage metrics, String controlPoint) {
+  ControlApiHandler(ControlPlaneAgent node, MetricsPage metrics, String controlPoint) {
     this.node = node;
     this.controlPort = controlPoint.substring(controlPoint.lastIndexOf(':'));
     this.metrics = metrics;
   }
 
   @Override
-  public Limits limits() {
+  public ClientLimits limits() {
     return LIMITS;
   }
 
   @Override
-  public void handle(Call call) {
-    Missive r = call.request();
+  public void handle(ServerExchange call) {
+    HttpMessage r = call.request();
     String path = r.path();
     String asked = r.method() + " " + path;
     try {
@@ -76,29 +77,29 @@
       } else if (asked.equals("GET /-/metrics")) {
         call.answer(metrics.page());
       } else {
-        call.answer(Replies.problem(404, "no such call"));
+        call.answer(GatewayResponses.problem(404, "no such call"));
       }
-    } catch (ChartException e) {
-      call.answer(Replies.problem(400, e.getMessage()));
+    } catch (ConfigException e) {
+      call.answer(GatewayResponses.problem(400, e.getMessage()));
     }
   }
 
-  private static String bodyOf(Call call) {
+  private static String bodyOf(ServerExchange call) {
     return new String(call.request().body(), StandardCharsets.UTF_8);
   }
 
   // --------------------------------------------------------------- workers
 
-  private void beat(Call call, String id) throws ChartException {
-    Fields f = Fields.of(Fields.parse(bodyOf(call)), "");
-    VesselState state =
+  private void beat(ServerExchange call, String id) throws ConfigException {
+    JsonFields f = JsonFields.of(JsonFields.parse(bodyOf(call)), "");
+    WorkerState state =
         switch (f.text("state")) {
-          case "in_service" -> VesselState.IN_SERVICE;
-          case "draining" -> VesselState.DRAINING;
-          default -> throw new ChartException("state: in_service or draining is wanted");
+          case "in_service" -> WorkerState.IN_SERVICE;
+          case "draining" -> WorkerState.DRAINING;
+          default -> throw new ConfigException("state: in_service or draining is wanted");
         };
-    Vessel v =
-        new Vessel(
+    WorkerInstance v =
+        new WorkerInstance(
             id,
             f.text("target_service"),
             f.text("address"),
@@ -107,35 +108,35 @@
             (int) f.whole("capacity_slots", 1, 1 << 20, 1),
             state,
             f.whole("call_sequence", 0, Long.MAX_VALUE, 0),
-            Quay.now() + 1000 * f.whole("warmup_left_ms", 0, 86_400_000, 0));
+            EventLoop.now() + 1000 * f.whole("warmup_left_ms", 0, 86_400_000, 0));
     acknowledge(call, v);
   }
 
-  private void leave(Call call, String id) {
-    Vessel old = node.vessel(id);
-    Vessel v =
+  private void leave(ServerExchange call, String id) {
+    WorkerInstance old = node.worker(id);
+    WorkerInstance v =
         old != null
-            ? old.in(VesselState.GONE)
-            : new Vessel(id, "", "", "-", "-", 1, VesselState.GONE, 0, 0);
+            ? old.in(WorkerState.GONE)
+            : new WorkerInstance(id, "", "", "-", "-", 1, WorkerState.GONE, 0, 0);
     acknowledge(call, v);
   }
 
-  private void acknowledge(Call call, Vessel v) {
+  private void acknowledge(ServerExchange call, WorkerInstance v) {
     node.beat(
         v,
         ok ->
             call.answer(
                 ok
-                    ? Replies.json(200, acknowledgement(v))
-                    : Replies.unavailable("the primary did not confirm it", 0.1)));
+                    ? GatewayResponses.json(200, acknowledgement(v))
+                    : GatewayResponses.unavailable("the primary did not confirm it", 0.1)));
   }
 
   private String controlPointOf(String internalAddress) {
     return internalAddress.substring(0, internalAddress.lastIndexOf(':')) + controlPort;
   }
 
-  private String acknowledgement(Vessel v) {
-    String beacon = v.state() == VesselState.IN_SERVICE ? node.beacon(v.zone(), v.id()) : null;
+  private String acknowledgement(WorkerInstance v) {
+    String beacon = v.state() == WorkerState.IN_SERVICE ? node.beacon(v.zone(), v.id()) : null;
     if (beacon == null) {
       return "{}";
     }
@@ -146,37 +147,38 @@
 
   // -------------------------------------------------------------- operator
 
-  private void ask(Call call, Flag f, long time, long resend, Consumer<Flag> use) {
+  private void ask(
+      ServerExchange call, WireRecord f, long time, long resend, Consumer<WireRecord> use) {
     node.ask(
         f,
         time,
         resend,
         r -> {
           if (r == null) {
-            call.answer(Replies.problem(504, "no clear answer from the primary"));
+            call.answer(GatewayResponses.problem(504, "no clear answer from the primary"));
           } else {
             use.accept(r);
           }
         });
   }
 
-  private void write(Call call, String kind) throws ChartException {
+  private void write(ServerExchange call, String kind) throws ConfigException {
     String text = bodyOf(call);
     String base = call.request().first("X-Otterpond-Base-Revision");
     long number;
     try {
       number = base == null ? 0 : Long.parseLong(base.trim());
     } catch (NumberFormatException e) {
-      throw new ChartException("X-Otterpond-Base-Revision: a whole number is wanted");
+      throw new ConfigException("X-Otterpond-Base-Revision: a whole number is wanted");
     }
     // Packed, and if large sent again seldom: the links of nodes without a disk are narrow.
     boolean big = text.length() > BIG_TEXT;
-    Flag f =
-        new Flag("ask")
+    WireRecord f =
+        new WireRecord("ask")
             .with("op", "write")
             .with("kind", kind)
             .with("base", number)
-            .with("text", Bale.pack(text));
+            .with("text", CompressedPayload.pack(text));
     ask(
         call,
         f,
@@ -185,87 +187,91 @@
         r -> {
           int status = (int) r.number("status");
           call.answer(
-              status == 200 ? Replies.json(200, "{}") : Replies.problem(status, r.text("cause")));
+              status == 200
+                  ? GatewayResponses.json(200, "{}")
+                  : GatewayResponses.problem(status, r.text("cause")));
         });
   }
 
-  private void read(Call call) {
+  private void read(ServerExchange call) {
     String beacon = node.configurationSize() > BIG_TEXT ? node.beacon("", "") : null;
     if (beacon != null) {
       // A node with a disk has the wider link, too.
       call.answer(
-          Replies.problem(307, "a large configuration is had from a core node")
+          GatewayResponses.problem(307, "a large configuration is had from a core node")
               .header("Location", "http://" + controlPointOf(beacon) + "/-/Configuration.Read"));
       return;
     }
     ask(
         call,
-        new Flag("ask").with("op", "read"),
+        new WireRecord("ask").with("op", "read"),
         ASK,
         RESEND,
         r -> {
           if (!r.has("text")) {
-            call.answer(Replies.problem(404, "no configuration yet"));
+            call.answer(GatewayResponses.problem(404, "no configuration yet"));
           } else {
-            call.answer(Replies.json(200, unpacked(r)));
+            call.answer(GatewayResponses.json(200, unpacked(r)));
           }
         });
   }
 
   /** A storage machine is to be emptied; how long that may take is the operator's to watch. */
-  private void retire(Call call, String name) throws ChartException {
+  private void retire(ServerExchange call, String name) throws ConfigException {
     if (call.request().body().length > 0) {
-      Fields.of(Fields.parse(bodyOf(call)), "").real("deadline_s", 0, 0);
+      JsonFields.of(JsonFields.parse(bodyOf(call)), "").real("deadline_s", 0, 0);
     }
     ask(
         call,
-        new Flag("ask").with("op", "retire").with("node", name),
+        new WireRecord("ask").with("op", "retire").with("node", name),
         ASK,
         RESEND,
         r -> {
           switch ((int) r.number("status")) {
-            case 200 -> call.answer(Replies.json(200, "{}"));
-            case 404 -> call.answer(Replies.problem(404, "no such storage machine"));
-            default -> call.answer(Replies.problem(409, "too few storage machines would be left"));
+            case 200 -> call.answer(GatewayResponses.json(200, "{}"));
+            case 404 -> call.answer(GatewayResponses.problem(404, "no such storage machine"));
+            default ->
+                call.answer(
+                    GatewayResponses.problem(409, "too few storage machines would be left"));
           }
         });
   }
 
-  private void retired(Call call, String name) {
+  private void retired(ServerExchange call, String name) {
     ask(
         call,
-        new Flag("ask").with("op", "retired").with("node", name),
+        new WireRecord("ask").with("op", "retired").with("node", name),
         ASK,
         RESEND,
         r -> {
           if (r.number("status") != 200) {
-            call.answer(Replies.problem(404, "no such retirement"));
+            call.answer(GatewayResponses.problem(404, "no such retirement"));
           } else {
             call.answer(
-                Replies.json(
+                GatewayResponses.json(
                     200,
                     r.truth("done") ? "{\"state\":\"completed\"}" : "{\"state\":\"in_progress\"}"));
           }
         });
   }
 
-  private static String unpacked(Flag reply) {
+  private static String unpacked(WireRecord reply) {
     try {
-      return Bale.unpackText(reply.bytes("text"));
-    } catch (SignalException e) {
+      return CompressedPayload.unpackText(reply.bytes("text"));
+    } catch (ProtocolException e) {
       throw new IllegalStateException("what the primary packed is unreadable here", e);
     }
   }
 
-  private void status(Call call) {
+  private void status(ServerExchange call) {
     ask(
         call,
-        new Flag("ask").with("op", "status"),
+        new WireRecord("ask").with("op", "status"),
         ASK,
         RESEND,
         r -> {
           JsonObject o = new JsonObject();
-          EpochRecord e = EpochRecord.of(r.flag("record"));
+          EpochRecord e = EpochRecord.of(r.nested("record"));
           o.addProperty("confirmed", r.truth("confirmed"));
           o.addProperty("epoch", e.epoch());
           o.addProperty("primary", e.primary().name());
@@ -313,17 +319,17 @@
                   "releasing",
                   "expiring",
                   "fence"));
-          Flag partitions = r.flag("partitions");
+          WireRecord partitions = r.nested("partitions");
           o.addProperty("partitions", partitions == null ? 0 : partitions.number("count"));
           o.addProperty(
               "partitions_lacking", partitions == null ? 0 : partitions.number("lacking"));
-          call.answer(Replies.json(200, o.toString()));
+          call.answer(GatewayResponses.json(200, o.toString()));
         });
   }
 
-  private static JsonElement rows(Flag r, String list, String... names) {
+  private static JsonElement rows(WireRecord r, String list, String... names) {
     JsonArray out = new JsonArray();
-    for (Flag f : r.flags(list)) {
+    for (WireRecord f : r.records(list)) {
       JsonObject o = new JsonObject();
       for (String n : names) {
         Object v = f.fields().get(n);
--- a/src/main/java/org/otterpond/keel/MetricsPage.java
+++ b/src/main/java/org/otterpond/server/MetricsPage.java
@@ -1,4 +1,4 @@
-package org.otterpond.keel;
+package org.otterpond.server;
 
 import io.micrometer.core.instrument.FunctionCounter;
 import io.micrometer.core.instrument.Gauge;
@@ -6,33 +6,33 @@
 import io.micrometer.prometheusmetrics.PrometheusMeterRegistry;
 import java.nio.charset.StandardCharsets;
 import java.util.concurrent.atomic.LongAdder;
-import org.otterpond.cargo.Pilotage;
-import org.otterpond.cargo.Tally;
-import org.otterpond.harbour.HarbourNode;
-import org.otterpond.quay.Missive;
-import org.otterpond.quay.Quay;
+import org.otterpond.control.agent.ControlPlaneAgent;
+import org.otterpond.net.EventLoop;
+import org.otterpond.net.HttpMessage;
+import org.otterpond.proxy.ProxyHandler;
+import org.otterpond.proxy.ProxyMetrics;
 
 /**
  * The metrics, by Micrometer. The registry is made when it is first asked for, to keep a quiet node
  * small.
  */
 final class MetricsPage {
-  private final Tally tally;
-  private final Pilotage pilotage;
-  private final HarbourNode node;
+  private final ProxyMetrics tally;
+  private final ProxyHandler proxy;
+  private final ControlPlaneAgent node;
   private PrometheusMeterRegistry registry;
 
-  MetricsPage(Tally tally, Pilotage pilotage, HarbourNode node) {
+  MetricsPage(ProxyMetrics tally, ProxyHandler proxy, ControlPlaneAgent node) {
     this.tally = tally;
-    this.pilotage = pilotage;
+    this.proxy = proxy;
     this.node = node;
   }
 
-  Missive page() {
+  HttpMessage page() {
     if (registry == null) {
       registry = fill(new PrometheusMeterRegistry(PrometheusConfig.DEFAULT));
     }
-    return Missive.response(200)
+    return HttpMessage.response(200)
         .header("Content-Type", "text/plain; version=0.0.4; charset=utf-8")
         .body(registry.scrape().getBytes(StandardCharsets.UTF_8));
   }
@@ -65,10 +65,12 @@
         "Requests beyond their tenant's quota",
         tally.overQuota);
     Gauge.builder(
-            "otterpond.configuration.confirmed.age", node, n -> (Quay.now() - n.freshAt()) / 1e6)
+            "otterpond.configuration.confirmed.age",
+            node,
+            n -> (EventLoop.now() - n.freshAt()) / 1e6)
         .baseUnit("seconds")
         .register(r);
-    Gauge.builder("otterpond.requests.open", pilotage, Pilotage::open).register(r);
+    Gauge.builder("otterpond.requests.open", proxy, ProxyHandler::open).register(r);
     Gauge.builder("otterpond.configuration.revision", node, n -> n.revision()).register(r);
     Gauge.builder("otterpond.epoch", node, n -> n.known() == null ? 0 : n.known().epoch())
         .register(r);
--- a/src/main/java/org/otterpond/keel/ShipsDeck.java
+++ b/src/main/java/org/otterpond/server/ProductionRuntime.java
@@ -1,44 +1,45 @@
-package org.otterpond.keel;
+package org.otterpond.server;
 
 import com.google.common.util.concurrent.ThreadFactoryBuilder;
 import java.util.concurrent.ExecutorService;
 import java.util.concurrent.Executors;
 import java.util.concurrent.ThreadLocalRandom;
 import java.util.function.Consumer;
-import org.otterpond.harbour.Deck;
-import org.otterpond.quay.Links;
-import org.otterpond.quay.Quay;
-import org.otterpond.signal.Flag;
+import org.otterpond.net.EventLoop;
+import org.otterpond.net.PeerTransport;
+import org.otterpond.protocol.WireRecord;
+import org.otterpond.runtime.NodeRuntime;
+import org.otterpond.storage.WriteAheadLogWriter;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /** The real world, for the state machines. */
-final class ShipsDeck implements Deck {
-  private static final Logger LOG = LoggerFactory.getLogger("org.otterpond.harbour");
+final class ProductionRuntime implements NodeRuntime {
+  private static final Logger LOG = LoggerFactory.getLogger("org.otterpond.control");
 
-  private final Quay quay;
+  private final EventLoop eventLoop;
   private final ExecutorService reader =
       Executors.newSingleThreadExecutor(
           new ThreadFactoryBuilder().setNameFormat("reader").setDaemon(true).build());
-  private Links links;
-  private Purser purser;
+  private PeerTransport links;
+  private WriteAheadLogWriter logWriter;
 
-  ShipsDeck(Quay quay) {
-    this.quay = quay;
+  ProductionRuntime(EventLoop eventLoop) {
+    this.eventLoop = eventLoop;
   }
 
-  void fit(Links l, Purser p) {
+  void fit(PeerTransport l, WriteAheadLogWriter p) {
     links = l;
-    purser = p;
+    logWriter = p;
   }
 
   @Override
   public long now() {
-    return Quay.now();
+    return EventLoop.now();
   }
 
   @Override
-  public void send(String address, Flag message) {
+  public void send(String address, WireRecord message) {
     links.send(address, message);
   }
 
@@ -48,13 +49,13 @@
   }
 
   @Override
-  public void journal(Flag record, Consumer<Boolean> done) {
-    purser.journal(record, done);
+  public void journal(WireRecord record, Consumer<Boolean> done) {
+    logWriter.journal(record, done);
   }
 
   @Override
   public void after(long delayMicros, Runnable task) {
-    quay.after(delayMicros, task);
+    eventLoop.after(delayMicros, task);
   }
 
   @Override
@@ -66,7 +67,7 @@
           } catch (RuntimeException | Error e) {
             LOG.error("event=work_failed cause=\"{}\"", String.valueOf(e));
           } finally {
-            quay.execute(then);
+            eventLoop.execute(then);
           }
         });
   }
--- a/src/main/java/org/otterpond/sim/OperatorRaces.java
+++ b/src/main/java/org/otterpond/simulation/ConcurrentOperators.java
@@ -1,24 +1,24 @@
-package org.otterpond.sim;
+package org.otterpond.simulation;
 
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Random;
 
 /** Operators who change the configuration at once, on one base, and others who read it. */
-final class OperatorRaces {
+final class ConcurrentOperators {
   private static final int MOST_AT_ONCE = 8;
   private static final int MOST_TRIES = 6;
   private static final int WIDE = 90_000;
 
-  private final SimFleet fleet;
-  private final SimWorld world;
-  private final OperatorCalls calls;
+  private final SimulatedCluster fleet;
+  private final SimulatedWorld world;
+  private final OperatorClient calls;
   private final Random random;
   private final boolean storm;
   private boolean going = true;
   private int number;
 
-  OperatorRaces(SimFleet fleet, OperatorCalls calls, Random random, boolean storm) {
+  ConcurrentOperators(SimulatedCluster fleet, OperatorClient calls, Random random, boolean storm) {
     this.fleet = fleet;
     this.world = fleet.world;
     this.calls = calls;
@@ -66,25 +66,25 @@
     }
     int count = storm && random.nextInt(4) > 0 ? 1 : 2 + random.nextInt(MOST_AT_ONCE - 1);
     long revision = base + 1 + random.nextInt(3);
-    List<Order> orders = new ArrayList<>();
+    List<ConfigurationWrite> orders = new ArrayList<>();
     for (int i = 0; i < count; i++) {
       orders.add(
           i > 0 && random.nextInt(3) == 0 ? orders.get(random.nextInt(i)) : order(base, revision));
     }
     boolean apart = random.nextInt(4) == 0;
-    for (Order o : orders) {
+    for (ConfigurationWrite o : orders) {
       world.at(random.nextInt(apart ? 1_500_000 : 30_000), () -> calls.send(o, MOST_TRIES));
     }
   }
 
   /** Mostly under the one number; a change only where there is something to change. */
-  private Order order(long base, long revision) {
+  private ConfigurationWrite order(long base, long revision) {
     long own = random.nextInt(4) == 0 ? revision + 1 + random.nextInt(2) : revision;
     String marker = "o" + ++number;
     fleet.checker.sent(own);
     return base > 0 && random.nextInt(2) == 0
-        ? Order.modify(base, own, marker)
-        : Order.replace(base, own, marker, random.nextInt(10) == 0 ? padding() : "");
+        ? ConfigurationWrite.modify(base, own, marker)
+        : ConfigurationWrite.replace(base, own, marker, random.nextInt(10) == 0 ? padding() : "");
   }
 
   /** Does not pack well, so a large change is large on the links as well. */
@@ -97,8 +97,8 @@
   }
 
   /** One order alone on the newest revision that was seen. */
-  Order alone() {
-    Order o = order(calls.seen(), calls.seen() + 1);
+  ConfigurationWrite alone() {
+    ConfigurationWrite o = order(calls.seen(), calls.seen() + 1);
     calls.send(o, MOST_TRIES);
     return o;
   }
--- a/src/main/java/org/otterpond/sim/Order.java
+++ b/src/main/java/org/otterpond/simulation/ConfigurationWrite.java
@@ -1,4 +1,4 @@
-package org.otterpond.sim;
+package org.otterpond.simulation;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -10,10 +10,10 @@
  * @param marker the name of the subscriber by which the content shows that the order has taken
  *     effect
  */
-record Order(boolean modify, long base, long revision, String marker, String text) {
+record ConfigurationWrite(boolean modify, long base, long revision, String marker, String text) {
   /** A whole configuration whose only subscriber is the marker. The padding makes it large. */
-  static Order replace(long base, long revision, String marker, String padding) {
-    return new Order(
+  static ConfigurationWrite replace(long base, long revision, String marker, String padding) {
+    return new ConfigurationWrite(
         false,
         base,
         revision,
@@ -29,8 +29,8 @@
   }
 
   /** A change that adds the marker to the subscribers there are. */
-  static Order modify(long base, long revision, String marker) {
-    return new Order(
+  static ConfigurationWrite modify(long base, long revision, String marker) {
+    return new ConfigurationWrite(
         true,
         base,
         revision,
--- a/src/main/java/org/otterpond/sim/Fault.java
+++ b/src/main/java/org/otterpond/simulation/Fault.java
@@ -1,4 +1,4 @@
-package org.otterpond.sim;
+package org.otterpond.simulation;
 
 import java.util.Locale;
 
--- a/src/main/java/org/otterpond/sim/Losses.java
+++ b/src/main/java/org/otterpond/simulation/FaultBudget.java
@@ -1,17 +1,17 @@
-package org.otterpond.sim;
+package org.otterpond.simulation;
 
 import java.util.HashMap;
 import java.util.Map;
 
 /** Which core machines count as lost: from a fault's beginning until a while after its end. */
-final class Losses {
+final class FaultBudget {
   /** So long after its return a machine still counts as lost. */
   private static final long SYNC = 4_000_000;
 
   private final int most;
   private final Map<String, Long> until = new HashMap<>();
 
-  Losses(int most) {
+  FaultBudget(int most) {
     this.most = most;
   }
 
--- a/src/main/java/org/otterpond/sim/FaultPlayer.java
+++ b/src/main/java/org/otterpond/simulation/FaultInjector.java
@@ -1,4 +1,4 @@
-package org.otterpond.sim;
+package org.otterpond.simulation;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -12,15 +12,15 @@
  * Brings a schedule's faults about and ends each; one that would lose more machines at once than
  * allowed is left out.
  */
-final class FaultPlayer {
+final class FaultInjector {
   private static final int ALL_POWER_BACK = 1_500_000;
 
-  private final SimFleet fleet;
-  private final SimWorld world;
-  private final Losses losses;
+  private final SimulatedCluster fleet;
+  private final SimulatedWorld world;
+  private final FaultBudget losses;
 
   /** Of machines without a disk; the same if they have no bound of their own. */
-  private final Losses edgeLosses;
+  private final FaultBudget edgeLosses;
 
   /** How many faults keep a way cut, or held. */
   private final Map<String, Integer> cuts = new HashMap<>();
@@ -28,11 +28,11 @@
   private final Map<String, Integer> holds = new HashMap<>();
   private final List<Fault> played = new ArrayList<>();
 
-  FaultPlayer(SimFleet fleet, int faults, int edgeFaults) {
+  FaultInjector(SimulatedCluster fleet, int faults, int edgeFaults) {
     this.fleet = fleet;
     this.world = fleet.world;
-    this.losses = new Losses(faults);
-    this.edgeLosses = edgeFaults == 0 ? losses : new Losses(edgeFaults);
+    this.losses = new FaultBudget(faults);
+    this.edgeLosses = edgeFaults == 0 ? losses : new FaultBudget(edgeFaults);
   }
 
   void play(List<Fault> entries) {
@@ -52,7 +52,7 @@
       allLosePower(chance);
       return;
     }
-    SimNode machine = machine(f, chance);
+    SimulatedNode machine = machine(f, chance);
     if (machine == null || !take(machine, f)) {
       return;
     }
@@ -75,13 +75,13 @@
         });
   }
 
-  private boolean take(SimNode machine, Fault f) {
+  private boolean take(SimulatedNode machine, Fault f) {
     return (machine.disk != null ? losses : edgeLosses)
         .take(machine.address, world.now(), f.forMillis() * 1000);
   }
 
-  private SimNode machine(Fault f, Random chance) {
-    SimNode primary = fleet.leader();
+  private SimulatedNode machine(Fault f, Random chance) {
+    SimulatedNode primary = fleet.leader();
     if (f.machine().equals(Fault.PRIMARY)) {
       return primary != null ? primary : fleet.disks.get(chance.nextInt(fleet.disks.size()));
     }
@@ -96,7 +96,7 @@
   }
 
   /** Begins the fault; what is given back ends it. */
-  private Runnable strike(Fault f, SimNode m, Random chance) {
+  private Runnable strike(Fault f, SimulatedNode m, Random chance) {
     switch (f.kind()) {
       case KILL -> {
         m.kill();
@@ -124,7 +124,7 @@
     return m::start;
   }
 
-  private static Runnable disk(SimDisk disk, Random chance) {
+  private static Runnable disk(SimulatedDisk disk, Random chance) {
     if (disk == null) {
       return () -> {};
     }
@@ -141,7 +141,7 @@
 
   private void allLosePower(Random chance) {
     losses.allLostPower(world.now() + 100_000 + ALL_POWER_BACK);
-    for (SimNode n : fleet.all) {
+    for (SimulatedNode n : fleet.all) {
       n.losePower();
       world.at(100_000 + chance.nextInt(ALL_POWER_BACK), n::start);
     }
@@ -151,11 +151,11 @@
    * Parts the machine, with as many of those without a disk as may be lost too, from the others or,
    * at times, from a few only.
    */
-  private Runnable cut(Fault f, SimNode m, Random chance) {
+  private Runnable cut(Fault f, SimulatedNode m, Random chance) {
     Set<String> side = new HashSet<>(Set.of(m.address));
     boolean few = chance.nextInt(3) == 0;
     Set<String> others = new HashSet<>();
-    for (SimNode n : fleet.all) {
+    for (SimulatedNode n : fleet.all) {
       if (n == m) {
         continue;
       }
@@ -167,8 +167,8 @@
     }
     boolean outwards = chance.nextBoolean();
     List<String[]> ways = new ArrayList<>();
-    for (SimNode a : fleet.all) {
-      for (SimNode b : fleet.all) {
+    for (SimulatedNode a : fleet.all) {
+      for (SimulatedNode b : fleet.all) {
         boolean out = side.contains(a.address) && others.contains(b.address);
         boolean in = others.contains(a.address) && side.contains(b.address);
         if (f.kind() == Fault.Kind.ONE_WAY ? outwards ? out : in : out || in) {
--- a/src/main/java/org/otterpond/sim/Checker.java
+++ b/src/main/java/org/otterpond/simulation/InvariantChecker.java
@@ -1,4 +1,4 @@
-package org.otterpond.sim;
+package org.otterpond.simulation;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -8,10 +8,10 @@
 import java.util.Set;
 
 /** Holds what was seen from outside against the rules; knows nothing of how the nodes work. */
-final class Checker {
+final class InvariantChecker {
   static final long WINDOW = 60_000_000;
 
-  private final SimWorld world;
+  private final SimulatedWorld world;
   final List<String> broken = new ArrayList<>();
   private final Map<Long, String> leaderOf = new HashMap<>();
   private final Map<Long, Long> forceOfLife = new HashMap<>();
@@ -31,7 +31,7 @@
   private final List<Long> counted = new ArrayList<>();
   int keyRuns;
 
-  Checker(SimWorld world) {
+  InvariantChecker(SimulatedWorld world) {
     this.world = world;
   }
 
--- a/src/main/java/org/otterpond/sim/ClaimCalls.java
+++ b/src/main/java/org/otterpond/simulation/KeyLockClients.java
@@ -1,19 +1,19 @@
-package org.otterpond.sim;
+package org.otterpond.simulation;
 
 import java.util.Random;
 
 /** Clients who bring operation keys, old ones among them, to any node. */
-final class ClaimCalls {
+final class KeyLockClients {
   private static final int REMEMBERED = 40;
 
-  private final SimFleet fleet;
-  private final OperatorCalls nodes;
+  private final SimulatedCluster fleet;
+  private final OperatorClient nodes;
   private final Random random;
   private boolean going = true;
   private int keys;
   private int tokens;
 
-  ClaimCalls(SimFleet fleet, OperatorCalls nodes, Random random) {
+  KeyLockClients(SimulatedCluster fleet, OperatorClient nodes, Random random) {
     this.fleet = fleet;
     this.nodes = nodes;
     this.random = random;
@@ -32,7 +32,7 @@
       return;
     }
     fleet.world.at(10_000 + random.nextInt(40_000), this::next);
-    SimNode n = nodes.anyNode();
+    SimulatedNode n = nodes.anyNode();
     if (n != null) {
       int span = Math.min(keys, REMEMBERED);
       boolean repeat = span > 0 && random.nextInt(3) == 0;
--- a/src/main/java/org/otterpond/sim/LinearizabilityChecker.java
+++ b/src/main/java/org/otterpond/simulation/LinearizabilityChecker.java
@@ -1,4 +1,4 @@
-package org.otterpond.sim;
+package org.otterpond.simulation;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -13,8 +13,8 @@
  *
  * <p>The search is Wing and Gong's, made cheap: revisions rise, so a run of the register is a chain
  * of orders each of which has the revision of the one before as its base. Chains are tried in
- * depth; a chain is given up as soon as {@link VersionTimes} finds no moments for it. Only orders
- * nobody saw the effect of leave a choice.
+ * depth; a chain is given up as soon as {@link RevisionIntervals} finds no moments for it. Only
+ * orders nobody saw the effect of leave a choice.
  */
 final class LinearizabilityChecker {
   private static final int MOST_STEPS = 60_000;
@@ -33,7 +33,7 @@
   }
 
   Verdict verdict() {
-    return new Search(new Calls(history)).run();
+    return new Search(new OperationIndex(history)).run();
   }
 
   /**
@@ -72,13 +72,13 @@
   }
 
   private static final class Search {
-    private final Calls calls;
-    private final VersionTimes times;
+    private final OperationIndex calls;
+    private final RevisionIntervals times;
     private int steps;
 
-    Search(Calls calls) {
+    Search(OperationIndex calls) {
       this.calls = calls;
-      this.times = new VersionTimes(calls);
+      this.times = new RevisionIntervals(calls);
     }
 
     Verdict run() {
@@ -92,7 +92,7 @@
     }
 
     /** Whether some chain that begins with this one explains everything. */
-    private boolean from(List<Order> chain, long revision, List<String> content) {
+    private boolean from(List<ConfigurationWrite> chain, long revision, List<String> content) {
       if (++steps > MOST_STEPS || calls.shownOtherwise(revision, content)) {
         return false;
       }
@@ -104,8 +104,8 @@
       if (next == Long.MAX_VALUE && times.possible(chain, true)) {
         return true;
       }
-      Order confirmed = calls.confirmedOn(revision);
-      for (Order o : calls.on(revision)) {
+      ConfigurationWrite confirmed = calls.confirmedOn(revision);
+      for (ConfigurationWrite o : calls.on(revision)) {
         // Past a revision that somebody saw there is no way, and none past a confirmed order.
         if (o.revision() <= revision
             || o.revision() > next
--- a/src/main/java/org/otterpond/sim/MessageChecker.java
+++ b/src/main/java/org/otterpond/simulation/MessageInvariantChecker.java
@@ -1,4 +1,4 @@
-package org.otterpond.sim;
+package org.otterpond.simulation;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -12,8 +12,8 @@
  * Holds what senders and workers have seen of messages against the rules; knows nothing of
  * partitions.
  */
-final class MessageChecker {
-  private final SimWorld world;
+final class MessageInvariantChecker {
+  private final SimulatedWorld world;
   final List<String> broken = new ArrayList<>();
   final Map<String, Sent> accepted = new LinkedHashMap<>();
   private final Map<String, Sent> sent = new HashMap<>();
@@ -46,7 +46,7 @@
     }
   }
 
-  MessageChecker(SimWorld world) {
+  MessageInvariantChecker(SimulatedWorld world) {
     this.world = world;
   }
 
--- a/src/main/java/org/otterpond/sim/Operation.java
+++ b/src/main/java/org/otterpond/simulation/Operation.java
@@ -1,4 +1,4 @@
-package org.otterpond.sim;
+package org.otterpond.simulation;
 
 import java.util.List;
 
@@ -20,7 +20,7 @@
 
   final Kind kind;
   final String node;
-  final Order order;
+  final ConfigurationWrite order;
   final long invoked;
   long returned = NEVER;
 
@@ -32,7 +32,7 @@
 
   List<String> content = List.of();
 
-  Operation(Kind kind, String node, Order order, long invoked) {
+  Operation(Kind kind, String node, ConfigurationWrite order, long invoked) {
     this.kind = kind;
     this.node = node;
     this.order = order;
--- a/src/main/java/org/otterpond/sim/History.java
+++ b/src/main/java/org/otterpond/simulation/OperationHistory.java
@@ -1,19 +1,19 @@
-package org.otterpond.sim;
+package org.otterpond.simulation;
 
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.LongSupplier;
 
 /** What operators called and what they were told, in the order of the calls. */
-final class History {
+final class OperationHistory {
   private final LongSupplier clock;
   final List<Operation> operations = new ArrayList<>();
 
-  History(LongSupplier clock) {
+  OperationHistory(LongSupplier clock) {
     this.clock = clock;
   }
 
-  Operation write(String node, Order order) {
+  Operation write(String node, ConfigurationWrite order) {
     return add(new Operation(Operation.Kind.WRITE, node, order, clock.getAsLong()));
   }
 
--- a/src/main/java/org/otterpond/sim/Calls.java
+++ b/src/main/java/org/otterpond/simulation/OperationIndex.java
@@ -1,4 +1,4 @@
-package org.otterpond.sim;
+package org.otterpond.simulation;
 
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -10,22 +10,22 @@
 import java.util.TreeSet;
 
 /** A history sorted for the check: by order, by base and by the revision that was shown. */
-final class Calls {
+final class OperationIndex {
   private static final int PRECONDITION_FAILED = 412;
 
-  private final Map<Long, Set<Order>> byBase = new HashMap<>();
-  private final Map<Order, Long> invoked = new HashMap<>();
-  private final Map<Order, Long> confirmed = new HashMap<>();
+  private final Map<Long, Set<ConfigurationWrite>> byBase = new HashMap<>();
+  private final Map<ConfigurationWrite, Long> invoked = new HashMap<>();
+  private final Map<ConfigurationWrite, Long> confirmed = new HashMap<>();
   private final Map<Long, List<Operation>> refusedByBase = new HashMap<>();
   private final Map<Long, List<Operation>> reads = new HashMap<>();
-  private final Map<Long, Order> confirmedOn = new HashMap<>();
+  private final Map<Long, ConfigurationWrite> confirmedOn = new HashMap<>();
 
   /** Revisions that must have been current at some time: somebody saw them, or was told 200. */
   private final TreeSet<Long> shown = new TreeSet<>();
 
   private boolean contradictory;
 
-  Calls(List<Operation> history) {
+  OperationIndex(List<Operation> history) {
     for (Operation o : history) {
       if (o.kind == Operation.Kind.WRITE) {
         write(o);
@@ -37,14 +37,15 @@
     // What is known to have taken effect is tried first.
     byBase.replaceAll(
         (base, orders) -> {
-          List<Order> sorted = new ArrayList<>(orders);
-          sorted.sort(Comparator.comparing((Order x) -> !shown.contains(x.revision())));
+          List<ConfigurationWrite> sorted = new ArrayList<>(orders);
+          sorted.sort(
+              Comparator.comparing((ConfigurationWrite x) -> !shown.contains(x.revision())));
           return new LinkedHashSet<>(sorted);
         });
   }
 
   private void write(Operation o) {
-    Order order = o.order;
+    ConfigurationWrite order = o.order;
     byBase.computeIfAbsent(order.base(), b -> new LinkedHashSet<>()).add(order);
     if (!o.isRefusal()) {
       // A call that was refused has done nothing, and will not.
@@ -52,7 +53,7 @@
     }
     if (o.isConfirmed()) {
       confirmed.merge(order, o.returned, Math::min);
-      Order other = confirmedOn.put(order.base(), order);
+      ConfigurationWrite other = confirmedOn.put(order.base(), order);
       contradictory |= other != null && !other.equals(order);
       shown.add(order.base());
       shown.add(order.revision());
@@ -71,11 +72,11 @@
     return contradictory;
   }
 
-  Set<Order> on(long base) {
+  Set<ConfigurationWrite> on(long base) {
     return byBase.getOrDefault(base, Set.of());
   }
 
-  Order confirmedOn(long base) {
+  ConfigurationWrite confirmedOn(long base) {
     return confirmedOn.get(base);
   }
 
@@ -83,12 +84,12 @@
    * When the order was sent first in a call that was not refused; {@link Operation#NEVER} if all
    * were.
    */
-  long invoked(Order o) {
+  long invoked(ConfigurationWrite o) {
     return invoked.getOrDefault(o, Operation.NEVER);
   }
 
   /** When the order was confirmed first; {@link Operation#NEVER} if it was not. */
-  long confirmed(Order o) {
+  long confirmed(ConfigurationWrite o) {
     return confirmed.getOrDefault(o, Operation.NEVER);
   }
 
--- a/src/main/java/org/otterpond/sim/OperatorCalls.java
+++ b/src/main/java/org/otterpond/simulation/OperatorClient.java
@@ -1,20 +1,20 @@
-package org.otterpond.sim;
+package org.otterpond.simulation;
 
 import com.google.gson.JsonElement;
 import com.google.gson.JsonParser;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Random;
-import org.otterpond.signal.Bale;
-import org.otterpond.signal.Flag;
-import org.otterpond.signal.SignalException;
+import org.otterpond.protocol.CompressedPayload;
+import org.otterpond.protocol.ProtocolException;
+import org.otterpond.protocol.WireRecord;
 
 /**
  * The calls of operators, as a node's control point carries them to the primary: an answer that
  * does not come in time, or is lost on its way, is none, and the order is sent again as it was, to
  * any node. All is written down in a history.
  */
-final class OperatorCalls {
+final class OperatorClient {
   private static final long ASK = 850_000;
   private static final long RESEND = 250_000;
   private static final long BIG_ASK = 2_500_000;
@@ -24,9 +24,9 @@
   private static final int MOST_TRIES = 8;
   private static final long LATEST = 20_000_000;
 
-  private final SimFleet fleet;
-  private final SimWorld world;
-  private final History history;
+  private final SimulatedCluster fleet;
+  private final SimulatedWorld world;
+  private final OperationHistory history;
   private final Random random;
 
   /** An order is not sent again once more changes than that lie between. */
@@ -50,13 +50,18 @@
    * An order with as many changes as were confirmed before it was sent first, and the tries that
    * are left.
    */
-  private record Sending(Order order, int before, int tries) {
+  private record Sending(ConfigurationWrite order, int before, int tries) {
     Sending next() {
       return new Sending(order, before, tries - 1);
     }
   }
 
-  OperatorCalls(SimFleet fleet, History history, Random random, double lost, int mostBetween) {
+  OperatorClient(
+      SimulatedCluster fleet,
+      OperationHistory history,
+      Random random,
+      double lost,
+      int mostBetween) {
     this.mostBetween = mostBetween;
     this.fleet = fleet;
     this.world = fleet.world;
@@ -81,13 +86,13 @@
                 () -> send(new Sending(s.order(), s.before(), MOST_TRIES))));
   }
 
-  SimNode anyNode() {
-    List<SimNode> up = fleet.all.stream().filter(n -> n.up() && n.storeDisk == null).toList();
+  SimulatedNode anyNode() {
+    List<SimulatedNode> up = fleet.all.stream().filter(n -> n.up() && n.storeDisk == null).toList();
     return up.isEmpty() ? null : up.get(random.nextInt(up.size()));
   }
 
   /** Sends an order until it has a clear answer or so many tries have had none. */
-  void send(Order order, int tries) {
+  void send(ConfigurationWrite order, int tries) {
     send(new Sending(order, confirmed, tries));
   }
 
@@ -99,23 +104,23 @@
       open.add(s);
       return;
     }
-    SimNode n = anyNode();
+    SimulatedNode n = anyNode();
     if (n == null) {
       world.at(200_000, () -> send(s));
       return;
     }
-    Order order = s.order();
+    ConfigurationWrite order = s.order();
     Operation o = history.write(n.address, order);
     boolean big = order.text().length() > BIG;
     boolean[] over = {false};
     long patience = big ? 3 * PATIENCE : PATIENCE;
     world.at(patience, () -> unclear(over, s));
-    Flag ask =
-        new Flag("ask")
+    WireRecord ask =
+        new WireRecord("ask")
             .with("op", "write")
             .with("kind", order.kind())
             .with("base", order.base())
-            .with("text", Bale.pack(order.text()));
+            .with("text", CompressedPayload.pack(order.text()));
     n.call(
         connection(),
         () ->
@@ -172,7 +177,7 @@
   }
 
   void read() {
-    SimNode n = anyNode();
+    SimulatedNode n = anyNode();
     if (n == null) {
       return;
     }
@@ -181,7 +186,7 @@
         connection(),
         () ->
             n.node.ask(
-                new Flag("ask").with("op", "read"),
+                new WireRecord("ask").with("op", "read"),
                 ASK,
                 RESEND,
                 r ->
@@ -201,12 +206,12 @@
     List<String> out = new ArrayList<>();
     try {
       for (JsonElement e :
-          JsonParser.parseString(Bale.unpackText(text))
+          JsonParser.parseString(CompressedPayload.unpackText(text))
               .getAsJsonObject()
               .getAsJsonArray("subscribers")) {
         out.add(e.getAsJsonObject().get("name").getAsString());
       }
-    } catch (SignalException e) {
+    } catch (ProtocolException e) {
       throw new IllegalStateException(e);
     }
     return out;
--- a/src/main/java/org/otterpond/sim/FrozenTasks.java
+++ b/src/main/java/org/otterpond/simulation/PausedTasks.java
@@ -1,4 +1,4 @@
-package org.otterpond.sim;
+package org.otterpond.simulation;
 
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -12,7 +12,7 @@
  * What a frozen process finds when it wakes: on its sockets, and of its own (timers, answers of the
  * disk).
  */
-final class FrozenTasks {
+final class PausedTasks {
   /** The connection is null for what is the process's own. */
   private record Waiting(String connection, Runnable task) {}
 
--- a/src/main/java/org/otterpond/sim/VersionTimes.java
+++ b/src/main/java/org/otterpond/simulation/RevisionIntervals.java
@@ -1,4 +1,4 @@
-package org.otterpond.sim;
+package org.otterpond.simulation;
 
 import java.util.Arrays;
 import java.util.List;
@@ -23,10 +23,10 @@
  * every one, which leaves the other half of the last demand. The chain is possible if the least
  * solution keeps the upper bounds. Moments that are equal count as either order.
  */
-final class VersionTimes {
-  private final Calls calls;
+final class RevisionIntervals {
+  private final OperationIndex calls;
 
-  VersionTimes(Calls calls) {
+  RevisionIntervals(OperationIndex calls) {
     this.calls = calls;
   }
 
@@ -34,7 +34,7 @@
    * If {@code whole}, nothing follows the chain; else more may, and calls on its last version are
    * left open.
    */
-  boolean possible(List<Order> chain, boolean whole) {
+  boolean possible(List<ConfigurationWrite> chain, boolean whole) {
     int n = chain.size();
     long[] least = new long[n + 2];
     long[] most = new long[n + 2];
@@ -44,7 +44,7 @@
     for (int k = 0; k <= n; k++) {
       long revision = 0;
       if (k > 0) {
-        Order o = chain.get(k - 1);
+        ConfigurationWrite o = chain.get(k - 1);
         revision = o.revision();
         least[k] = Math.max(least[k], calls.invoked(o));
         most[k] = Math.min(most[k], calls.confirmed(o));
@@ -65,12 +65,12 @@
     return least[0] == 0;
   }
 
-  private boolean raisedByRefusals(List<Order> chain, long[] least, boolean whole) {
+  private boolean raisedByRefusals(List<ConfigurationWrite> chain, long[] least, boolean whole) {
     int n = chain.size();
     boolean raised = false;
     for (int k = 0; k <= n; k++) {
       long revision = k == 0 ? 0 : chain.get(k - 1).revision();
-      Order next = k < n ? chain.get(k) : null;
+      ConfigurationWrite next = k < n ? chain.get(k) : null;
       if (next == null && !whole) {
         continue;
       }
--- a/src/main/java/org/otterpond/sim/Schedule.java
+++ b/src/main/java/org/otterpond/simulation/Schedule.java
@@ -1,4 +1,4 @@
-package org.otterpond.sim;
+package org.otterpond.simulation;
 
 import com.google.gson.Gson;
 import com.google.gson.GsonBuilder;
--- a/src/main/java/org/otterpond/sim/ScheduleMaker.java
+++ b/src/main/java/org/otterpond/simulation/ScheduleGenerator.java
@@ -1,4 +1,4 @@
-package org.otterpond.sim;
+package org.otterpond.simulation;
 
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -10,7 +10,7 @@
  * Draws schedules. The bound on machines lost at once is kept when they are played, as who leads is
  * known only then.
  */
-final class ScheduleMaker {
+final class ScheduleGenerator {
   private static final long NARROW = 400_000;
 
   private final int core;
@@ -21,7 +21,7 @@
   private final boolean storms;
   private final List<Fault.Kind> kinds;
 
-  ScheduleMaker(
+  ScheduleGenerator(
       int core,
       int faults,
       int edge,
--- a/src/main/java/org/otterpond/sim/Outcome.java
+++ b/src/main/java/org/otterpond/simulation/ScheduleOutcome.java
@@ -1,9 +1,9 @@
-package org.otterpond.sim;
+package org.otterpond.simulation;
 
 import java.util.List;
 
 /** What a simulated run showed. A breach begins with a word for its sort. */
-record Outcome(
+record ScheduleOutcome(
     List<String> breaches,
     int operations,
     int confirmed,
@@ -17,7 +17,7 @@
   }
 
   /** Whether this is a failure of the same sort as another's first. */
-  boolean failsAs(Outcome other) {
+  boolean failsAs(ScheduleOutcome other) {
     return breaches.stream().anyMatch(b -> sort(b).equals(sort(other.breaches.get(0))));
   }
 
--- a/src/main/java/org/otterpond/sim/Shrinker.java
+++ b/src/main/java/org/otterpond/simulation/ScheduleShrinker.java
@@ -1,16 +1,16 @@
-package org.otterpond.sim;
+package org.otterpond.simulation;
 
 import java.util.function.Predicate;
 
 /** Cuts a failing schedule down: fewer faults and less time, as long as it fails. */
-final class Shrinker {
+final class ScheduleShrinker {
   private static final int MOST_RUNS = 150;
   private static final int STEP = 5;
 
   private final Predicate<Schedule> fails;
   private int runs;
 
-  Shrinker(Predicate<Schedule> fails) {
+  ScheduleShrinker(Predicate<Schedule> fails) {
     this.fails = fails;
   }
 
--- a/src/main/java/org/otterpond/sim/SimulateCommand.java
+++ b/src/main/java/org/otterpond/simulation/SimulateCommand.java
@@ -1,4 +1,4 @@
-package org.otterpond.sim;
+package org.otterpond.simulation;
 
 import com.google.gson.JsonSyntaxException;
 import java.io.PrintWriter;
@@ -93,7 +93,7 @@
   @Override
   public Integer call() {
     // One line a simulation is for the log of tests.
-    System.setProperty("org.slf4j.simpleLogger.log.org.otterpond.sim", "warn");
+    System.setProperty("org.slf4j.simpleLogger.log.org.otterpond.simulation", "warn");
     if (replay != null) {
       return replay();
     }
@@ -118,17 +118,18 @@
         return wrong("--kinds: " + kinds);
       }
     }
-    ScheduleMaker maker =
-        new ScheduleMaker(core, faults, edge, edgeFaults, seconds, drawn, !noStorm);
+    ScheduleGenerator maker =
+        new ScheduleGenerator(core, faults, edge, edgeFaults, seconds, drawn, !noStorm);
     int failed = 0;
     for (int i = 0; i < schedules; i++) {
       Schedule s = maker.make(seed + i);
-      Outcome o = new Simulation(s).run();
+      ScheduleOutcome o = new Simulation(s).run();
       print(s, o);
       if (!o.sound()) {
         failed++;
-        Schedule least = new Shrinker(fewer -> new Simulation(fewer).run().failsAs(o)).shrink(s);
-        Outcome again = new Simulation(least).run();
+        Schedule least =
+            new ScheduleShrinker(fewer -> new Simulation(fewer).run().failsAs(o)).shrink(s);
+        ScheduleOutcome again = new Simulation(least).run();
         out()
             .println(
                 "event=schedule_shrunk seed=" + s.seed() + " faults=" + least.entries().size());
@@ -149,7 +150,7 @@
     } catch (JsonSyntaxException e) {
       return wrong("--replay: " + e.getMessage());
     }
-    Outcome o = new Simulation(s).run();
+    ScheduleOutcome o = new Simulation(s).run();
     if (log) {
       o.log().forEach(out()::println);
     }
@@ -166,7 +167,7 @@
     return spec.commandLine().getOut();
   }
 
-  private void print(Schedule s, Outcome o) {
+  private void print(Schedule s, ScheduleOutcome o) {
     out()
         .println(
             "event=schedule seed="
--- a/src/main/java/org/otterpond/sim/SimFleet.java
+++ b/src/main/java/org/otterpond/simulation/SimulatedCluster.java
@@ -1,34 +1,35 @@
-package org.otterpond.sim;
+package org.otterpond.simulation;
 
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.Consumer;
-import org.otterpond.chart.Shipper;
-import org.otterpond.harbour.QuotaTerms;
-import org.otterpond.harbour.Stores;
-import org.otterpond.harbour.Vessel;
-import org.otterpond.harbour.VesselState;
-import org.otterpond.harbour.WatchTimes;
-import org.otterpond.signal.Bale;
-import org.otterpond.signal.Flag;
+import org.otterpond.config.Tenant;
+import org.otterpond.control.agent.QuotaCache;
+import org.otterpond.control.epoch.EpochTimeouts;
+import org.otterpond.control.primary.QuotaSettings;
+import org.otterpond.control.state.WorkerInstance;
+import org.otterpond.control.state.WorkerState;
+import org.otterpond.protocol.CompressedPayload;
+import org.otterpond.protocol.WireRecord;
 
 /**
  * A whole system with its callers: an operator who changes the configuration, clients with
  * operation keys.
  */
-final class SimFleet {
-  static final QuotaTerms QUOTA = new QuotaTerms(5_000_000, 0.1, 20, WatchTimes.standard().lent());
+final class SimulatedCluster {
+  static final QuotaSettings QUOTA =
+      new QuotaSettings(5_000_000, 0.1, 20, EpochTimeouts.standard().lent());
 
   static final long REVOKE = 5_000_000;
   static final String TENANT = "acme";
   static final int RATE = 40;
   static final int BURST = 200;
 
-  final SimWorld world;
-  final Checker checker;
-  final List<SimNode> disks = new ArrayList<>();
-  final List<SimNode> all = new ArrayList<>();
-  final List<SimNode> stores = new ArrayList<>();
+  final SimulatedWorld world;
+  final InvariantChecker checker;
+  final List<SimulatedNode> disks = new ArrayList<>();
+  final List<SimulatedNode> all = new ArrayList<>();
+  final List<SimulatedNode> stores = new ArrayList<>();
 
   /** The services of every configuration that the operator sends. */
   String services = "[]";
@@ -40,10 +41,10 @@
   private final int faults;
   private int keyNumber;
 
-  SimFleet(long seed, int withDisk, int without, int faults) {
+  SimulatedCluster(long seed, int withDisk, int without, int faults) {
     this.faults = faults;
-    world = new SimWorld(seed);
-    checker = new Checker(world);
+    world = new SimulatedWorld(seed);
+    checker = new InvariantChecker(world);
     // The seeds are one machine with a disk and two without, as a deployment may have it.
     seeds = List.of("d1:1", without > 0 ? "n1:1" : "d2:1", without > 1 ? "n2:1" : "d3:1");
     for (int i = 1; i <= withDisk; i++) {
@@ -52,36 +53,36 @@
     for (int i = 1; i <= without; i++) {
       add("n" + i + ":1", false);
     }
-    for (SimNode n : all) {
+    for (SimulatedNode n : all) {
       world.at(world.random.nextInt(1_500_000), n::start);
     }
   }
 
-  SimNode add(String address, boolean disk) {
-    SimNode n = new SimNode(world, checker, address, disk, seeds, faults);
+  SimulatedNode add(String address, boolean disk) {
+    SimulatedNode n = new SimulatedNode(world, checker, address, disk, seeds, faults);
     world.nodes.put(address, n);
     all.add(n);
     return n;
   }
 
   /** A machine that stores messages. */
-  SimNode addStore(String address, MessageChecker messages) {
-    SimNode n = add(address, false);
-    n.storeDisk = new SimStoreDisk(world);
+  SimulatedNode addStore(String address, MessageInvariantChecker messages) {
+    SimulatedNode n = add(address, false);
+    n.storeDisk = new SimulatedSegmentStore(world);
     n.messages = messages;
     stores.add(n);
     return n;
   }
 
-  SimNode leader() {
+  SimulatedNode leader() {
     return all.stream()
-        .filter(SimNode::leading)
+        .filter(SimulatedNode::leading)
         .reduce((a, b) -> a.node.known().epoch() > b.node.known().epoch() ? a : b)
         .orElse(null);
   }
 
-  SimNode anyUp() {
-    List<SimNode> up = all.stream().filter(n -> n.up() && n.storeDisk == null).toList();
+  SimulatedNode anyUp() {
+    List<SimulatedNode> up = all.stream().filter(n -> n.up() && n.storeDisk == null).toList();
     return up.isEmpty() ? null : up.get(world.random.nextInt(up.size()));
   }
 
@@ -119,7 +120,7 @@
   }
 
   private void write(long base, long revision, int tries, Runnable then) {
-    SimNode n = anyUp();
+    SimulatedNode n = anyUp();
     if (n == null || tries == 0) {
       then.run();
       return;
@@ -133,9 +134,9 @@
             + "{\"name\":\""
             + TENANT
             + "\",\"access_keys\":[\""
-            + Checker.keyOf(revision)
+            + InvariantChecker.keyOf(revision)
             + "\",\""
-            + Checker.keyOf(base)
+            + InvariantChecker.keyOf(base)
             + "\"],\"rate_per_s\":"
             + RATE
             + ",\"burst_size\":"
@@ -143,11 +144,11 @@
             + "}]}";
     boolean[] first = {tries == 4};
     n.node.ask(
-        new Flag("ask")
+        new WireRecord("ask")
             .with("op", "write")
             .with("kind", "replace")
             .with("base", base)
-            .with("text", Bale.pack(text)),
+            .with("text", CompressedPayload.pack(text)),
         900_000,
         250_000,
         r -> {
@@ -166,14 +167,14 @@
   }
 
   void read(Consumer<Long> use) {
-    SimNode n = anyUp();
+    SimulatedNode n = anyUp();
     if (n == null) {
       use.accept(-1L);
       return;
     }
     long before = checker.newestAcknowledged();
     n.node.ask(
-        new Flag("ask").with("op", "read"),
+        new WireRecord("ask").with("op", "read"),
         900_000,
         250_000,
         r -> {
@@ -193,7 +194,7 @@
       return;
     }
     world.at(10_000 + world.random.nextInt(20_000), this::client);
-    SimNode n = anyUp();
+    SimulatedNode n = anyUp();
     if (n == null) {
       return;
     }
@@ -203,10 +204,10 @@
     claim(n, key, "t" + ++tokenNumber);
   }
 
-  void claim(SimNode n, String key, String token) {
-    org.otterpond.harbour.HarbourNode node = n.node;
+  void claim(SimulatedNode n, String key, String token) {
+    org.otterpond.control.agent.ControlPlaneAgent node = n.node;
     node.ask(
-        new Flag("ask")
+        new WireRecord("ask")
             .with("op", "claim")
             .with("key", key)
             .with("token", token)
@@ -232,9 +233,9 @@
   }
 
   private static void tell(
-      org.otterpond.harbour.HarbourNode node, String op, String key, String token) {
+      org.otterpond.control.agent.ControlPlaneAgent node, String op, String key, String token) {
     node.ask(
-        new Flag("ask").with("op", op).with("key", key).with("token", token),
+        new WireRecord("ask").with("op", op).with("key", key).with("token", token),
         2_000_000,
         300_000,
         x -> {});
@@ -255,7 +256,7 @@
       return;
     }
     world.at(2_000 + world.random.nextInt(3_000), this::tenantCalls);
-    SimNode n = anyUp();
+    SimulatedNode n = anyUp();
     if (n == null) {
       return;
     }
@@ -263,18 +264,18 @@
   }
 
   /** As the data path does: the node's word must be fresh, the key known, and a token had. */
-  void admit(SimNode n) {
+  void admit(SimulatedNode n) {
     if (n.configuration == null || world.now() - n.node.freshAt() >= REVOKE - 250_000) {
       return;
     }
-    for (Shipper s : n.configuration.shippers()) {
+    for (Tenant s : n.configuration.tenants()) {
       s.keys().forEach(k -> checker.keyRuns(n.address, k, REVOKE));
     }
     n.node
         .stores()
         .want(
             TENANT,
-            new Stores.Taker() {
+            new QuotaCache.Taker() {
               private boolean done;
               private final long until = world.now() + 1_000_000;
 
@@ -296,8 +297,8 @@
             });
   }
 
-  Vessel worker(String id, VesselState state, long sequence) {
-    return new Vessel(id, "svc", "10.0.0.1:80", "z", "v1", 4, state, sequence, 0);
+  WorkerInstance worker(String id, WorkerState state, long sequence) {
+    return new WorkerInstance(id, "svc", "10.0.0.1:80", "z", "v1", 4, state, sequence, 0);
   }
 
   /** What the log holds last, for a failed test. */
--- a/src/main/java/org/otterpond/sim/SimShore.java
+++ b/src/main/java/org/otterpond/simulation/SimulatedDataPlane.java
@@ -1,23 +1,24 @@
-package org.otterpond.sim;
+package org.otterpond.simulation;
 
 import java.util.List;
 import java.util.Map;
 import java.util.function.Consumer;
-import org.otterpond.chart.Configuration;
-import org.otterpond.harbour.Shore;
-import org.otterpond.harbour.Vessel;
-import org.otterpond.keys.KeeperHost;
-import org.otterpond.replica.GroupView;
-import org.otterpond.signal.Flag;
+import org.otterpond.config.GatewayConfiguration;
+import org.otterpond.control.primary.DataPlane;
+import org.otterpond.control.state.WorkerInstance;
+import org.otterpond.keyrange.KeyRangeRuntime;
+import org.otterpond.protocol.WireRecord;
+import org.otterpond.replication.GroupConfiguration;
 
 /** What one life of a simulated node is told, kept for those who look at it. */
-final class SimShore implements Shore {
-  private final SimNode node;
-  private final Checker checker;
+final class SimulatedDataPlane implements DataPlane {
+  private final SimulatedNode node;
+  private final InvariantChecker checker;
   private final long life;
   private final Consumer<Runnable> perform;
 
-  SimShore(SimNode node, Checker checker, long life, Consumer<Runnable> perform) {
+  SimulatedDataPlane(
+      SimulatedNode node, InvariantChecker checker, long life, Consumer<Runnable> perform) {
     this.node = node;
     this.checker = checker;
     this.life = life;
@@ -25,14 +26,14 @@
   }
 
   @Override
-  public void configured(Configuration c) {
+  public void configured(GatewayConfiguration c) {
     checker.inForce(node.address, life, c.revision());
     node.configuration = c;
     node.onConfigured.accept(c);
   }
 
   @Override
-  public void worker(Vessel v) {
+  public void worker(WorkerInstance v) {
     node.workers.put(v.id(), v);
   }
 
@@ -42,28 +43,28 @@
   }
 
   @Override
-  public void assigned(Flag entry) {
+  public void assigned(WireRecord entry) {
     node.ranges.take(entry);
     if (entry.text("key").startsWith("partition:")) {
-      GroupView v = GroupView.of(entry);
+      GroupConfiguration v = GroupConfiguration.of(entry);
       node.partitions.put(v.group(), v);
     }
-    if (node.depot != null) {
-      node.depot.assigned(entry);
+    if (node.store != null) {
+      node.store.assigned(entry);
     }
   }
 
   @Override
-  public void message(String from, Flag f, Consumer<Flag> reply) {
-    if (node.depot != null) {
-      node.depot.message(from, f, reply);
+  public void message(String from, WireRecord f, Consumer<WireRecord> reply) {
+    if (node.store != null) {
+      node.store.message(from, f, reply);
     }
   }
 
   @Override
   public void peerLost(String other) {
-    if (node.depot != null) {
-      node.depot.peerLost(other);
+    if (node.store != null) {
+      node.store.peerLost(other);
     }
   }
 
@@ -74,18 +75,18 @@
       String path,
       String body,
       long timeout,
-      Consumer<KeeperHost.Answer> answer) {
+      Consumer<KeyRangeRuntime.Answer> answer) {
     node.keyWorkers.call(
         node.address, to, path, body, timeout, a -> perform.accept(() -> answer.accept(a)));
   }
 
   @Override
-  public List<Flag> heat() {
+  public List<WireRecord> heat() {
     return node.keyWorkers == null ? List.of() : node.keyWorkers.heat(node.address);
   }
 
   @Override
-  public Flag outcome(String key, String token) {
+  public WireRecord outcome(String key, String token) {
     return null;
   }
 }
--- a/src/main/java/org/otterpond/sim/SimCourier.java
+++ b/src/main/java/org/otterpond/simulation/SimulatedDelivery.java
@@ -1,37 +1,38 @@
-package org.otterpond.sim;
+package org.otterpond.simulation;
 
 import java.util.HashMap;
 import java.util.HashSet;
 import java.util.Map;
 import java.util.Set;
 import java.util.function.Consumer;
-import org.otterpond.message.Courier;
-import org.otterpond.message.Depot;
-import org.otterpond.message.Message;
-import org.otterpond.message.MessageQueue;
+import org.otterpond.messaging.DeliveryListener;
+import org.otterpond.messaging.Message;
+import org.otterpond.messaging.MessagePartition;
+import org.otterpond.messaging.MessageStore;
 
 /**
  * Delivers to workers who succeed mostly, fail at times, and whose answers are lost now and then.
  */
-final class SimCourier implements Courier {
+final class SimulatedDelivery implements DeliveryListener {
   private static final int MOST_ATTEMPTS = 3;
 
-  private final SimWorld world;
-  private final MessageChecker checker;
+  private final SimulatedWorld world;
+  private final MessageInvariantChecker checker;
   private final Consumer<Runnable> perform;
-  Depot depot;
-  private final Map<MessageQueue, Integer> underWay = new HashMap<>();
-  private final Map<MessageQueue, Runnable> quieting = new HashMap<>();
+  MessageStore store;
+  private final Map<MessagePartition, Integer> underWay = new HashMap<>();
+  private final Map<MessagePartition, Runnable> quieting = new HashMap<>();
   private final Set<Message> waiting = new HashSet<>();
 
-  SimCourier(SimWorld world, MessageChecker checker, Consumer<Runnable> perform) {
+  SimulatedDelivery(
+      SimulatedWorld world, MessageInvariantChecker checker, Consumer<Runnable> perform) {
     this.world = world;
     this.checker = checker;
     this.perform = perform;
   }
 
   @Override
-  public void ready(MessageQueue queue, Message m) {
+  public void ready(MessagePartition queue, Message m) {
     waiting.add(m);
     world.at(
         500 + world.random.nextInt(3_000),
@@ -44,7 +45,7 @@
                 }));
   }
 
-  private void send(MessageQueue queue, Message m) {
+  private void send(MessagePartition queue, Message m) {
     if (!queue.serving()) {
       queue.later(m, 0);
       return;
@@ -84,16 +85,16 @@
         });
   }
 
-  private void told(MessageQueue queue, Message m, int draw, String seal) {
+  private void told(MessagePartition queue, Message m, int draw, String seal) {
     if (draw < 85) {
       checker.read(m.id());
-      depot.ended(queue, m, Message.State.COMPLETED, seal);
+      store.ended(queue, m, Message.State.COMPLETED, seal);
     } else if (draw >= 88 && draw < 90) {
-      depot.ended(queue, m, Message.State.DEAD_LETTER, null);
+      store.ended(queue, m, Message.State.DEAD_LETTER, null);
     } else if (draw >= 90 && draw < 96) {
-      depot.tried(queue, m);
+      store.tried(queue, m);
       if (m.attempts() >= MOST_ATTEMPTS) {
-        depot.ended(queue, m, Message.State.DEAD_LETTER, null);
+        store.ended(queue, m, Message.State.DEAD_LETTER, null);
       } else {
         queue.later(m, 20_000);
       }
@@ -111,7 +112,7 @@
   }
 
   @Override
-  public void stop(MessageQueue queue, Runnable quiet) {
+  public void stop(MessagePartition queue, Runnable quiet) {
     if (underWay.containsKey(queue)) {
       quieting.put(queue, quiet);
     } else {
--- a/src/main/java/org/otterpond/sim/SimDisk.java
+++ b/src/main/java/org/otterpond/simulation/SimulatedDisk.java
@@ -1,19 +1,19 @@
-package org.otterpond.sim;
+package org.otterpond.simulation;
 
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Random;
 import java.util.function.Consumer;
-import org.otterpond.signal.Flag;
-import org.otterpond.signal.FlagCodec;
-import org.otterpond.signal.SignalException;
+import org.otterpond.protocol.ProtocolException;
+import org.otterpond.protocol.WireRecord;
+import org.otterpond.protocol.WireRecordCodec;
 
 /**
  * A disk with the journal's meaning: what was synced stays, of the rest some head may stay after a
  * loss of power.
  */
-final class SimDisk {
-  private final SimWorld world;
+final class SimulatedDisk {
+  private final SimulatedWorld world;
   String id;
   boolean stalled;
   boolean refusing;
@@ -28,7 +28,7 @@
   private long busyUntil;
   private int generation;
 
-  SimDisk(SimWorld world) {
+  SimulatedDisk(SimulatedWorld world) {
     this.world = world;
     wipe();
   }
@@ -44,13 +44,13 @@
     return records.isEmpty();
   }
 
-  void append(Flag f, Consumer<Boolean> done) {
+  void append(WireRecord f, Consumer<Boolean> done) {
     int g = generation;
     if (refusing) {
       world.at(1_000, () -> done.accept(false));
       return;
     }
-    records.add(FlagCodec.encode(f));
+    records.add(WireRecordCodec.encode(f));
     int upTo = records.size();
     if (lying) {
       world.at(100, () -> done.accept(true));
@@ -96,12 +96,12 @@
     generation++;
   }
 
-  List<Flag> read() {
-    List<Flag> out = new ArrayList<>();
+  List<WireRecord> read() {
+    List<WireRecord> out = new ArrayList<>();
     for (byte[] b : records) {
       try {
-        out.add(FlagCodec.decode(b, 0, b.length));
-      } catch (SignalException e) {
+        out.add(WireRecordCodec.decode(b, 0, b.length));
+      } catch (ProtocolException e) {
         throw new IllegalStateException(e);
       }
     }
--- a/src/main/java/org/otterpond/sim/SimLink.java
+++ b/src/main/java/org/otterpond/simulation/SimulatedLink.java
@@ -1,4 +1,4 @@
-package org.otterpond.sim;
+package org.otterpond.simulation;
 
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -11,7 +11,7 @@
  * lies in the kernel, which goes on sending it: after the cut it arrives late, in its own order,
  * beside what newer connections bring.
  */
-final class SimLink {
+final class SimulatedLink {
   /** So long a sender waits for a sign of life before it dials anew. */
   private static final long GIVEN_UP = 1_200_000;
 
--- a/src/main/java/org/otterpond/sim/SimNode.java
+++ b/src/main/java/org/otterpond/simulation/SimulatedNode.java
@@ -1,4 +1,4 @@
-package org.otterpond.sim;
+package org.otterpond.simulation;
 
 import java.util.ArrayDeque;
 import java.util.Deque;
@@ -7,54 +7,54 @@
 import java.util.Map;
 import java.util.Random;
 import java.util.function.Consumer;
-import org.otterpond.chart.Configuration;
-import org.otterpond.harbour.Deck;
-import org.otterpond.harbour.HarbourNode;
-import org.otterpond.harbour.HarbourTerms;
-import org.otterpond.harbour.LossTolerance;
-import org.otterpond.harbour.NodeIdentity;
-import org.otterpond.harbour.Vessel;
-import org.otterpond.keys.RangeTable;
-import org.otterpond.message.Depot;
-import org.otterpond.message.StoreTerms;
-import org.otterpond.replica.GroupTimes;
-import org.otterpond.replica.GroupView;
-import org.otterpond.signal.Flag;
+import org.otterpond.config.GatewayConfiguration;
+import org.otterpond.control.agent.ControlPlaneAgent;
+import org.otterpond.control.agent.NodeIdentity;
+import org.otterpond.control.primary.ControlPlaneSettings;
+import org.otterpond.control.state.FaultTolerance;
+import org.otterpond.control.state.WorkerInstance;
+import org.otterpond.keyrange.KeyRangeTable;
+import org.otterpond.messaging.MessageStore;
+import org.otterpond.messaging.MessageStoreSettings;
+import org.otterpond.protocol.WireRecord;
+import org.otterpond.replication.GroupConfiguration;
+import org.otterpond.replication.ReplicaGroupTimeouts;
+import org.otterpond.runtime.NodeRuntime;
 
 /** One machine with one node on it, driving the same state machines as the daemon. */
-final class SimNode {
-  private final SimWorld world;
-  private final Checker checker;
+final class SimulatedNode {
+  private final SimulatedWorld world;
+  private final InvariantChecker checker;
   final String address;
   String zone = "z";
 
   /** Decides only how far away others are. */
   String region = "r";
 
-  final SimDisk disk;
+  final SimulatedDisk disk;
   private final List<String> seeds;
 
   /** What the deployment says may be lost. */
-  LossTolerance losses;
+  FaultTolerance losses;
 
   private boolean firstStart = true;
-  private SimDeck deck;
-  HarbourNode node;
-  final Map<String, Vessel> workers = new HashMap<>();
-  Configuration configuration;
+  private SimulatedRuntime runtime;
+  ControlPlaneAgent node;
+  final Map<String, WorkerInstance> workers = new HashMap<>();
+  GatewayConfiguration configuration;
 
   /** Told of every configuration that comes into force here. */
-  Consumer<Configuration> onConfigured = c -> {};
+  Consumer<GatewayConfiguration> onConfigured = c -> {};
 
   /** What this machine stores of messages, if it is one that does. */
-  SimStoreDisk storeDisk;
+  SimulatedSegmentStore storeDisk;
 
-  Depot depot;
-  SimCourier courier;
-  MessageChecker messages;
-  SimWorkers keyWorkers;
-  final RangeTable ranges = new RangeTable();
-  final Map<Integer, GroupView> partitions = new HashMap<>();
+  MessageStore store;
+  SimulatedDelivery delivery;
+  MessageInvariantChecker messages;
+  SimulatedWorkers keyWorkers;
+  final KeyRangeTable ranges = new KeyRangeTable();
+  final Map<Integer, GroupConfiguration> partitions = new HashMap<>();
 
   /**
    * Whether what the node sends to itself arrives at once, as in the daemon, and not by the
@@ -71,20 +71,20 @@
   private Deque<Runnable> soon;
 
   private boolean dark;
-  private final FrozenTasks frozenTasks = new FrozenTasks();
+  private final PausedTasks frozenTasks = new PausedTasks();
 
-  SimNode(
-      SimWorld world,
-      Checker checker,
+  SimulatedNode(
+      SimulatedWorld world,
+      InvariantChecker checker,
       String address,
       boolean withDisk,
       List<String> seeds,
       int faults) {
-    this.losses = LossTolerance.ofMachines(faults);
+    this.losses = FaultTolerance.ofMachines(faults);
     this.world = world;
     this.checker = checker;
     this.address = address;
-    this.disk = withDisk ? new SimDisk(world) : null;
+    this.disk = withDisk ? new SimulatedDisk(world) : null;
     this.seeds = seeds;
   }
 
@@ -106,7 +106,7 @@
   /** A connection to another node never came up, or was closed from there. */
   void peerLost(String address, boolean neverUp) {
     if (node != null) {
-      SimDeck d = deck;
+      SimulatedRuntime d = runtime;
       d.perform(address, () -> node.peerLost(address, neverUp));
     }
   }
@@ -124,7 +124,7 @@
       return;
     }
     dark = false;
-    deck = new SimDeck();
+    runtime = new SimulatedRuntime();
     workers.clear();
     partitions.clear();
     configuration = null;
@@ -132,8 +132,8 @@
     boolean blank = disk != null && disk.blank();
     checker.started(address, life);
     node =
-        new HarbourNode(
-            deck,
+        new ControlPlaneAgent(
+            runtime,
             new NodeIdentity(
                 address,
                 address,
@@ -144,27 +144,29 @@
                 seeds,
                 life,
                 storeDisk == null ? null : storeDisk.id),
-            new SimShore(this, checker, life, deck::perform),
-            new HarbourTerms(1_500_000, Checker.WINDOW, losses, SimFleet.QUOTA));
+            new SimulatedDataPlane(this, checker, life, runtime::perform),
+            new ControlPlaneSettings(
+                1_500_000, InvariantChecker.WINDOW, losses, SimulatedCluster.QUOTA));
     if (disk != null && !blank) {
       node.replay(disk.read());
     }
     firstStart = false;
     if (storeDisk != null) {
-      SimDeck d = deck;
-      courier = new SimCourier(world, messages, d::perform);
-      depot =
-          new Depot(
-              deck,
+      SimulatedRuntime d = runtime;
+      delivery = new SimulatedDelivery(world, messages, d::perform);
+      store =
+          new MessageStore(
+              runtime,
               storeDisk.id,
               address,
               storeDisk.attached(d::perform),
-              new StoreTerms(300_000_000, 30_000_000, 100_000, GroupTimes.standard()),
-              courier);
-      courier.depot = depot;
-      depot.fit(node);
-      storeDisk.read().forEach((place, f) -> depot.replay(f, place));
-      depot.start();
+              new MessageStoreSettings(
+                  300_000_000, 30_000_000, 100_000, ReplicaGroupTimeouts.standard()),
+              delivery);
+      delivery.store = store;
+      store.fit(node);
+      storeDisk.read().forEach((place, f) -> store.replay(f, place));
+      store.start();
     }
     node.start();
   }
@@ -177,7 +179,7 @@
 
   void kill() {
     if (node != null) {
-      deck.alive = false;
+      runtime.alive = false;
       node = null;
       frozen = false;
       frozenTasks.clear();
@@ -199,7 +201,7 @@
       storeDisk.losePower();
     }
     if (node != null) {
-      deck.alive = false;
+      runtime.alive = false;
       node = null;
       frozen = false;
       frozenTasks.clear();
@@ -223,12 +225,12 @@
    */
   void thaw(boolean socketsFirst, Random random) {
     if (frozen) {
-      turn(deck, new ArrayDeque<>(frozenTasks.apart(socketsFirst, random)), random);
+      turn(runtime, new ArrayDeque<>(frozenTasks.apart(socketsFirst, random)), random);
     }
   }
 
-  private void turn(SimDeck life, Deque<Runnable> left, Random random) {
-    if (deck != life || !life.alive) {
+  private void turn(SimulatedRuntime life, Deque<Runnable> left, Random random) {
+    if (runtime != life || !life.alive) {
       return;
     }
     frozen = false;
@@ -256,26 +258,26 @@
   /** Does something on the node's own thread: later, if it is frozen. */
   void perform(Runnable task) {
     if (node != null) {
-      deck.perform(task);
+      runtime.perform(task);
     }
   }
 
   /** Does what a caller asks on a connection of its own. */
   void call(String connection, Runnable task) {
     if (node != null) {
-      deck.perform(connection, task);
+      runtime.perform(connection, task);
     }
   }
 
-  void deliver(String from, Flag f) {
+  void deliver(String from, WireRecord f) {
     if (node == null) {
       return;
     }
-    SimDeck d = deck;
+    SimulatedRuntime d = runtime;
     d.perform(from, () -> node.onMessage(from, f));
   }
 
-  private final class SimDeck implements Deck {
+  private final class SimulatedRuntime implements NodeRuntime {
     private boolean alive = true;
 
     private void perform(Runnable task) {
@@ -303,7 +305,7 @@
     }
 
     @Override
-    public void send(String to, Flag message) {
+    public void send(String to, WireRecord message) {
       if (selfAtOnce && to.equals(address)) {
         after(0, () -> node.onMessage(address, message));
       } else {
@@ -312,7 +314,7 @@
     }
 
     @Override
-    public void journal(Flag record, Consumer<Boolean> done) {
+    public void journal(WireRecord record, Consumer<Boolean> done) {
       disk.append(record, ok -> perform(() -> done.accept(ok)));
     }
 
--- a/src/main/java/org/otterpond/sim/SimSenders.java
+++ b/src/main/java/org/otterpond/simulation/SimulatedProducers.java
@@ -1,29 +1,29 @@
-package org.otterpond.sim;
+package org.otterpond.simulation;
 
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
-import org.otterpond.replica.GroupView;
-import org.otterpond.signal.Flag;
+import org.otterpond.protocol.WireRecord;
+import org.otterpond.replication.GroupConfiguration;
 
 /**
  * Clients that hand messages in at any edge node, and ask for them at the end; as the intake does
  * it.
  */
-final class SimSenders {
+final class SimulatedProducers {
   private static final int LINES = 6;
   private static final long PATIENCE = 1_500_000;
 
-  private final SimFleet fleet;
-  private final SimWorld world;
-  private final MessageChecker checker;
+  private final SimulatedCluster fleet;
+  private final SimulatedWorld world;
+  private final MessageInvariantChecker checker;
   private boolean sending = true;
   private int number;
   private final List<String> operations = new ArrayList<>();
   int refused;
 
-  SimSenders(SimFleet fleet, MessageChecker checker) {
+  SimulatedProducers(SimulatedCluster fleet, MessageInvariantChecker checker) {
     this.fleet = fleet;
     this.world = fleet.world;
     this.checker = checker;
@@ -42,7 +42,7 @@
       return;
     }
     world.at(4_000 + world.random.nextInt(12_000), this::next);
-    SimNode edge = fleet.anyUp();
+    SimulatedNode edge = fleet.anyUp();
     if (edge == null || edge.frozen()) {
       return;
     }
@@ -60,17 +60,17 @@
     edge.perform(() -> hand(edge, line, operation, delay));
   }
 
-  private void hand(SimNode edge, String line, String operation, long delay) {
-    Map<Integer, GroupView> partitions = edge.partitions;
+  private void hand(SimulatedNode edge, String line, String operation, long delay) {
+    Map<Integer, GroupConfiguration> partitions = edge.partitions;
     if (partitions.isEmpty()) {
       return;
     }
     int group = Math.floorMod((line != null ? line : operation).hashCode(), partitions.size());
     String id = group + ".m" + ++number;
     String body = "body of " + id + " " + "x".repeat(world.random.nextInt(400));
-    MessageChecker.Sent s = checker.sent(id, line, delay, body);
-    Flag message =
-        new Flag("put")
+    MessageInvariantChecker.Sent s = checker.sent(id, line, delay, body);
+    WireRecord message =
+        new WireRecord("put")
             .with("id", id)
             .with("order", line)
             .with("op", operation)
@@ -86,14 +86,14 @@
   }
 
   private void put(
-      SimNode edge,
+      SimulatedNode edge,
       int group,
-      Flag message,
-      MessageChecker.Sent s,
+      WireRecord message,
+      MessageInvariantChecker.Sent s,
       String operation,
       long until,
       boolean doubtful) {
-    GroupView v = edge.partitions.get(group);
+    GroupConfiguration v = edge.partitions.get(group);
     if (world.now() > until) {
       if (!doubtful) {
         refused++;
@@ -102,14 +102,14 @@
       return;
     }
     edge.node.askNode(
-        GroupView.addressOf(v.primary()),
-        new Flag("m.put").with("group", group).with("message", message),
+        GroupConfiguration.addressOf(v.primary()),
+        new WireRecord("m.put").with("group", group).with("message", message),
         600_000,
         r -> {
           if (r != null && r.has("taken")) {
             checker.accepted(s, operation, r.text("taken"));
           } else {
-            SimNode n = edge;
+            SimulatedNode n = edge;
             world.at(
                 40_000,
                 () ->
@@ -124,13 +124,13 @@
     checker.accepted.values().forEach(s -> ask(s, 30));
   }
 
-  private void ask(MessageChecker.Sent s, int tries) {
-    SimNode edge = fleet.anyUp();
+  private void ask(MessageInvariantChecker.Sent s, int tries) {
+    SimulatedNode edge = fleet.anyUp();
     int group = Integer.parseInt(s.id.substring(0, s.id.indexOf('.')));
-    String primary = GroupView.addressOf(edge.partitions.get(group).primary());
+    String primary = GroupConfiguration.addressOf(edge.partitions.get(group).primary());
     edge.node.askNode(
         primary,
-        new Flag("m.state").with("group", group).with("id", s.id),
+        new WireRecord("m.state").with("group", group).with("id", s.id),
         500_000,
         r -> {
           if (r == null || r.has("no")) {
@@ -145,7 +145,7 @@
           if ("QUEUED".equals(r.text("state"))) {
             edge.node.askNode(
                 primary,
-                new Flag("m.body").with("group", group).with("id", s.id),
+                new WireRecord("m.body").with("group", group).with("id", s.id),
                 500_000,
                 b -> {
                   if (b != null && b.has("body")) {
--- a/src/main/java/org/otterpond/sim/SimGroup.java
+++ b/src/main/java/org/otterpond/simulation/SimulatedReplicaGroup.java
@@ -1,4 +1,4 @@
-package org.otterpond.sim;
+package org.otterpond.simulation;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -10,28 +10,28 @@
 import java.util.TreeMap;
 import java.util.function.Consumer;
 import java.util.function.LongConsumer;
-import org.otterpond.replica.GroupHost;
-import org.otterpond.replica.GroupTimes;
-import org.otterpond.replica.GroupView;
-import org.otterpond.replica.ReplicaGroup;
-import org.otterpond.replica.StateMachine;
-import org.otterpond.signal.Flag;
-import org.otterpond.signal.FlagCodec;
-import org.otterpond.signal.SignalException;
+import org.otterpond.protocol.ProtocolException;
+import org.otterpond.protocol.WireRecord;
+import org.otterpond.protocol.WireRecordCodec;
+import org.otterpond.replication.GroupConfiguration;
+import org.otterpond.replication.ReplicaGroup;
+import org.otterpond.replication.ReplicaGroupRuntime;
+import org.otterpond.replication.ReplicaGroupTimeouts;
+import org.otterpond.replication.StateMachine;
 
 /**
  * One replica group with its configuration manager and a checker that sees every entry applied and
  * every query answered. The state is a register: an update writes a number, a query reads the
  * newest.
  */
-final class SimGroup {
-  private static final GroupTimes TIMES = GroupTimes.standard();
+final class SimulatedReplicaGroup {
+  private static final ReplicaGroupTimeouts TIMES = ReplicaGroupTimeouts.standard();
 
-  final SimWorld world;
+  final SimulatedWorld world;
   final Map<String, Member> members = new LinkedHashMap<>();
   final List<String> broken = new ArrayList<>();
   private final Set<String> cuts = new HashSet<>();
-  private GroupView installed;
+  private GroupConfiguration installed;
 
   /** What was applied first under each serial number, wherever that was. */
   private final Map<Long, Long> history = new TreeMap<>();
@@ -46,7 +46,7 @@
   boolean disksLie;
   boolean leaseFromTheAnswer;
 
-  final class Member implements GroupHost, StateMachine {
+  final class Member implements ReplicaGroupRuntime, StateMachine {
     final String name;
     final List<byte[]> journal = new ArrayList<>();
     int durable;
@@ -87,7 +87,7 @@
                   l,
                   () -> {
                     group.tick();
-                    GroupView v = group.view();
+                    GroupConfiguration v = group.view();
                     if (v != null && v.primary().equals(name)) {
                       long at = world.now();
                       v.secondaries().forEach(s -> beacon(s, v.version(), group.committed(), at));
@@ -159,22 +159,22 @@
     }
 
     @Override
-    public void send(String member, Flag message) {
-      byte[] bytes = FlagCodec.encode(message);
+    public void send(String member, WireRecord message) {
+      byte[] bytes = WireRecordCodec.encode(message);
       way(
           name,
           member,
           () -> {
             Member m = members.get(member);
-            m.perform(() -> m.group.onMessage(GroupView.addressOf(name), decode(bytes)));
+            m.perform(() -> m.group.onMessage(GroupConfiguration.addressOf(name), decode(bytes)));
           });
     }
 
     @Override
-    public void journal(Flag record, LongConsumer done) {
+    public void journal(WireRecord record, LongConsumer done) {
       long place = journal.size();
       if (!disksLie) {
-        journal.add(FlagCodec.encode(record));
+        journal.add(WireRecordCodec.encode(record));
       }
       int l = life;
       // One disk: what was written first is answered first.
@@ -196,7 +196,7 @@
     }
 
     @Override
-    public void propose(GroupView next, Consumer<GroupView> outcome) {
+    public void propose(GroupConfiguration next, Consumer<GroupConfiguration> outcome) {
       int l = life;
       way(
           name,
@@ -212,7 +212,7 @@
                               world.random.nextInt(300_000),
                               () -> m.perform(() -> m.group.learn(next))));
             }
-            GroupView v = installed;
+            GroupConfiguration v = installed;
             way("manager", name, () -> perform(l, () -> outcome.accept(v)));
           });
       world.at(700_000, () -> perform(l, () -> outcome.accept(null)));
@@ -229,7 +229,7 @@
     }
 
     @Override
-    public void apply(Flag entry, long serial, long place) {
+    public void apply(WireRecord entry, long serial, long place) {
       long value = entry.number("value");
       applied.add(value);
       Long first = history.putIfAbsent(serial, value);
@@ -253,13 +253,13 @@
     }
 
     @Override
-    public void export(Consumer<Flag> piece) {
-      applied.forEach(v -> piece.accept(new Flag("value").with("value", v)));
+    public void export(Consumer<WireRecord> piece) {
+      applied.forEach(v -> piece.accept(new WireRecord("value").with("value", v)));
       piece.accept(null);
     }
 
     @Override
-    public void load(Flag piece, long place) {
+    public void load(WireRecord piece, long place) {
       applied.add(piece.number("value"));
     }
 
@@ -274,23 +274,23 @@
     }
   }
 
-  SimGroup(long seed, int count) {
-    world = new SimWorld(seed);
+  SimulatedReplicaGroup(long seed, int count) {
+    world = new SimulatedWorld(seed);
     List<String> names = new ArrayList<>();
     for (int i = 1; i <= count; i++) {
       names.add("m" + i + "@a" + i);
     }
     names.forEach(n -> members.put(n, new Member(n)));
-    installed = new GroupView(0, 1, names.get(0), names.subList(1, count), names);
+    installed = new GroupConfiguration(0, 1, names.get(0), names.subList(1, count), names);
     members.values().forEach(Member::start);
     world.at(0, this::writer);
     world.at(0, this::reader);
   }
 
-  private static Flag decode(byte[] b) {
+  private static WireRecord decode(byte[] b) {
     try {
-      return FlagCodec.decode(b, 0, b.length);
-    } catch (SignalException e) {
+      return WireRecordCodec.decode(b, 0, b.length);
+    } catch (ProtocolException e) {
       throw new IllegalStateException(e);
     }
   }
@@ -338,7 +338,7 @@
         m.perform(
             () ->
                 m.group.update(
-                    new Flag("set").with("value", value),
+                    new WireRecord("set").with("value", value),
                     false,
                     () -> {
                       updates++;
--- a/src/main/java/org/otterpond/sim/SimStoreDisk.java
+++ b/src/main/java/org/otterpond/simulation/SimulatedSegmentStore.java
@@ -1,21 +1,21 @@
-package org.otterpond.sim;
+package org.otterpond.simulation;
 
 import java.util.LinkedHashMap;
 import java.util.Map;
 import java.util.TreeMap;
 import java.util.function.Consumer;
 import java.util.function.LongConsumer;
-import org.otterpond.message.StoreDisk;
-import org.otterpond.signal.Flag;
-import org.otterpond.signal.FlagCodec;
-import org.otterpond.signal.SignalException;
+import org.otterpond.protocol.ProtocolException;
+import org.otterpond.protocol.WireRecord;
+import org.otterpond.protocol.WireRecordCodec;
+import org.otterpond.storage.SegmentStore;
 
 /**
  * The disk of a storage machine: what was synced stays, of the rest some head may stay after a loss
  * of power.
  */
-final class SimStoreDisk {
-  private final SimWorld world;
+final class SimulatedSegmentStore {
+  private final SimulatedWorld world;
   String id;
 
   /** A deliberate fault: answers before anything is safe. */
@@ -27,7 +27,7 @@
   private int generation;
   private long busyUntil;
 
-  SimStoreDisk(SimWorld world) {
+  SimulatedSegmentStore(SimulatedWorld world) {
     this.world = world;
     wipe();
   }
@@ -56,28 +56,28 @@
     generation++;
   }
 
-  Map<Long, Flag> read() {
-    Map<Long, Flag> out = new LinkedHashMap<>();
+  Map<Long, WireRecord> read() {
+    Map<Long, WireRecord> out = new LinkedHashMap<>();
     records.forEach((place, b) -> out.put(place, decode(b)));
     return out;
   }
 
-  private static Flag decode(byte[] b) {
+  private static WireRecord decode(byte[] b) {
     try {
-      return FlagCodec.decode(b, 0, b.length);
-    } catch (SignalException e) {
+      return WireRecordCodec.decode(b, 0, b.length);
+    } catch (ProtocolException e) {
       throw new IllegalStateException(e);
     }
   }
 
   /** As one life of a process sees it. */
-  StoreDisk attached(Consumer<Runnable> perform) {
-    return new StoreDisk() {
+  SegmentStore attached(Consumer<Runnable> perform) {
+    return new SegmentStore() {
       @Override
-      public void append(Flag record, LongConsumer done) {
+      public void append(WireRecord record, LongConsumer done) {
         int g = generation;
         long place = next++;
-        records.put(place, FlagCodec.encode(record));
+        records.put(place, WireRecordCodec.encode(record));
         busyUntil = Math.max(busyUntil, world.now()) + 100;
         world.at(
             lying ? 100 : busyUntil - world.now() + 800,
@@ -90,7 +90,7 @@
       }
 
       @Override
-      public void read(long place, Consumer<Flag> use) {
+      public void read(long place, Consumer<WireRecord> use) {
         byte[] b = records.get(place);
         world.at(500, () -> perform.accept(() -> use.accept(b == null ? null : decode(b))));
       }
--- a/src/main/java/org/otterpond/sim/SimWorkers.java
+++ b/src/main/java/org/otterpond/simulation/SimulatedWorkers.java
@@ -1,4 +1,4 @@
-package org.otterpond.sim;
+package org.otterpond.simulation;
 
 import com.google.gson.JsonObject;
 import com.google.gson.JsonParser;
@@ -9,25 +9,25 @@
 import java.util.Map;
 import java.util.TreeMap;
 import java.util.function.Consumer;
-import org.otterpond.harbour.Vessel;
-import org.otterpond.harbour.VesselState;
-import org.otterpond.keys.KeeperHost;
-import org.otterpond.keys.KeyRange;
-import org.otterpond.keys.RangeState;
-import org.otterpond.signal.Flag;
+import org.otterpond.control.state.WorkerInstance;
+import org.otterpond.control.state.WorkerState;
+import org.otterpond.keyrange.KeyRange;
+import org.otterpond.keyrange.KeyRangeRuntime;
+import org.otterpond.keyrange.KeyRangeState;
+import org.otterpond.protocol.WireRecord;
 
 /**
  * Workers of one divided service, who hold keys as they are granted them, with clocks that run two
  * per cent slow.
  */
-final class SimWorkers {
+final class SimulatedWorkers {
   static final String SERVICE = "divided";
   private static final double SLOW = 1.02;
   private static final int KEYS = 64;
   private static final int STEP = (KeyRange.LAST_KEY + 1) / KEYS;
 
-  private final SimFleet fleet;
-  private final SimWorld world;
+  private final SimulatedCluster fleet;
+  private final SimulatedWorld world;
   final Map<String, Worker> workers = new LinkedHashMap<>();
   final List<String> broken = new ArrayList<>();
   private final Map<String, Map<Integer, Integer>> heat = new HashMap<>();
@@ -64,13 +64,13 @@
       return up && heldUntil.getOrDefault(key, 0L) > world.now();
     }
 
-    KeeperHost.Answer grant(JsonObject o) {
+    KeyRangeRuntime.Answer grant(JsonObject o) {
       long fence = o.get("fence").getAsLong();
       long until = world.now() + (long) (o.get("hold_timer_ms").getAsLong() * 1000 * SLOW);
       List<Integer> keys = keys(o);
       for (int k : keys) {
         if (fences.getOrDefault(k, 0L) > fence) {
-          return new KeeperHost.Answer(409, null, true);
+          return new KeyRangeRuntime.Answer(409, null, true);
         }
       }
       for (int k : keys) {
@@ -80,12 +80,12 @@
         fences.put(k, fence);
         heldUntil.put(k, until);
       }
-      return new KeeperHost.Answer(200, null, true);
+      return new KeyRangeRuntime.Answer(200, null, true);
     }
 
-    KeeperHost.Answer release(JsonObject o) {
+    KeyRangeRuntime.Answer release(JsonObject o) {
       keys(o).forEach(heldUntil::remove);
-      return new KeeperHost.Answer(200, "token-" + id, true);
+      return new KeyRangeRuntime.Answer(200, "token-" + id, true);
     }
 
     private List<Integer> keys(JsonObject o) {
@@ -100,7 +100,7 @@
     }
   }
 
-  SimWorkers(SimFleet fleet) {
+  SimulatedWorkers(SimulatedCluster fleet) {
     this.fleet = fleet;
     this.world = fleet.world;
     fleet.all.forEach(n -> n.keyWorkers = this);
@@ -117,17 +117,17 @@
     if (!w.up || workers.get(w.address) != w) {
       return;
     }
-    SimNode n = fleet.anyUp();
+    SimulatedNode n = fleet.anyUp();
     if (n != null && !n.frozen()) {
-      Vessel v =
-          new Vessel(
+      WorkerInstance v =
+          new WorkerInstance(
               w.id,
               SERVICE,
               w.address,
               "z",
               "v1",
               4,
-              w.draining ? VesselState.DRAINING : VesselState.IN_SERVICE,
+              w.draining ? WorkerState.DRAINING : WorkerState.IN_SERVICE,
               ++w.sequence,
               0);
       n.perform(() -> n.node.beat(v, ok -> {}));
@@ -147,7 +147,7 @@
       String path,
       String body,
       long timeout,
-      Consumer<KeeperHost.Answer> answer) {
+      Consumer<KeyRangeRuntime.Answer> answer) {
     boolean[] done = {false};
     long way = 200 + world.random.nextInt(2_000);
     world.at(
@@ -155,7 +155,7 @@
         () -> {
           if (!done[0]) {
             done[0] = true;
-            answer.accept(new KeeperHost.Answer(0, null, true));
+            answer.accept(new KeyRangeRuntime.Answer(0, null, true));
           }
         });
     if (world.isCut(from, to)) {
@@ -172,7 +172,7 @@
           boolean grant = path.endsWith("grant");
           // The answer to a release comes when the work on its keys has ended.
           long work = grant ? 0 : world.random.nextInt(300_000);
-          KeeperHost.Answer a = grant ? w.grant(o) : w.release(o);
+          KeyRangeRuntime.Answer a = grant ? w.grant(o) : w.release(o);
           if (world.random.nextInt(40) == 0 || world.isCut(from, to)) {
             return;
           }
@@ -187,7 +187,7 @@
         });
   }
 
-  List<Flag> heat(String node) {
+  List<WireRecord> heat(String node) {
     Map<Integer, Integer> counts = heat.remove(node);
     if (counts == null) {
       return List.of();
@@ -199,7 +199,7 @@
           keys.add((long) n);
         });
     return List.of(
-        new Flag("heat").with("service", SERVICE).with("work", 50_000).with("keys", keys));
+        new WireRecord("heat").with("service", SERVICE).with("work", 50_000).with("keys", keys));
   }
 
   /** Clients, at any node, for keys of which one may be hot. */
@@ -208,7 +208,7 @@
       return;
     }
     world.at(1_000 + world.random.nextInt(2_000), this::requests);
-    SimNode n = fleet.anyUp();
+    SimulatedNode n = fleet.anyUp();
     if (n == null || n.frozen()) {
       return;
     }
@@ -220,7 +220,7 @@
         () -> {
           heat.computeIfAbsent(n.address, a -> new HashMap<>()).merge(key, 1, Integer::sum);
           KeyRange r = n.ranges.at(SERVICE, key);
-          if (r == null || r.state() != RangeState.HELD) {
+          if (r == null || r.state() != KeyRangeState.HELD) {
             misses++;
             return;
           }
--- a/src/main/java/org/otterpond/sim/SimWorld.java
+++ b/src/main/java/org/otterpond/simulation/SimulatedWorld.java
@@ -1,4 +1,4 @@
-package org.otterpond.sim;
+package org.otterpond.simulation;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -9,9 +9,9 @@
 import java.util.PriorityQueue;
 import java.util.Random;
 import java.util.Set;
-import org.otterpond.signal.Flag;
-import org.otterpond.signal.FlagCodec;
-import org.otterpond.signal.SignalException;
+import org.otterpond.protocol.ProtocolException;
+import org.otterpond.protocol.WireRecord;
+import org.otterpond.protocol.WireRecordCodec;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -19,8 +19,8 @@
  * Simulated time and network. Everything that happens is an event in one queue; one seed decides it
  * all.
  */
-final class SimWorld {
-  private static final Logger LOG = LoggerFactory.getLogger(SimWorld.class);
+final class SimulatedWorld {
+  private static final Logger LOG = LoggerFactory.getLogger(SimulatedWorld.class);
 
   private static final long OTHER_ZONE = 500;
   private static final long OTHER_REGION = 20_000;
@@ -34,11 +34,11 @@
   }
 
   final Random random;
-  final Map<String, SimNode> nodes = new LinkedHashMap<>();
+  final Map<String, SimulatedNode> nodes = new LinkedHashMap<>();
   final List<String> log = new ArrayList<>();
   private final PriorityQueue<Event> events = new PriorityQueue<>();
   private final Set<String> cuts = new HashSet<>();
-  private final Map<String, SimLink> links = new HashMap<>();
+  private final Map<String, SimulatedLink> links = new HashMap<>();
   private final Map<String, Long> widths = new HashMap<>();
 
   /** Until when the links of machines of stated width have something to carry. */
@@ -51,7 +51,7 @@
   /** Bytes and messages that each node has sent and been sent. */
   final Map<String, long[]> traffic = new HashMap<>();
 
-  SimWorld(long seed) {
+  SimulatedWorld(long seed) {
     random = new Random(seed);
     LOG.info("event=simulation_began seed={}", seed);
   }
@@ -110,8 +110,8 @@
    * reset.
    */
   void release(String from, String to, Random chance) {
-    SimLink link = link(from, to);
-    for (SimLink.Late l : link.release(now, chance)) {
+    SimulatedLink link = link(from, to);
+    for (SimulatedLink.Late l : link.release(now, chance)) {
       long n = link.nextNumber();
       at(l.delay(), () -> arrive(from, to, link, n, l.bytes()));
     }
@@ -147,15 +147,15 @@
     at(
         200 + random.nextInt(800),
         () -> {
-          SimNode n = nodes.get(to);
+          SimulatedNode n = nodes.get(to);
           if (n != null && !cuts.contains(from + ">" + to) && !link(from, to).holding()) {
             n.peerLost(from, false);
           }
         });
   }
 
-  private SimLink link(String from, String to) {
-    return links.computeIfAbsent(from + ">" + to, w -> new SimLink());
+  private SimulatedLink link(String from, String to) {
+    return links.computeIfAbsent(from + ">" + to, w -> new SimulatedLink());
   }
 
   /** When so many bytes have passed the machine's link, behind all that goes or comes there. */
@@ -170,21 +170,21 @@
   }
 
   private long distance(String from, String to) {
-    SimNode a = nodes.get(from);
-    SimNode b = nodes.get(to);
+    SimulatedNode a = nodes.get(from);
+    SimulatedNode b = nodes.get(to);
     if (a == null || b == null || a.region.equals(b.region) && a.zone.equals(b.zone)) {
       return 0;
     }
     return a.region.equals(b.region) ? OTHER_ZONE : OTHER_REGION;
   }
 
-  void send(String from, String to, Flag f) {
-    byte[] bytes = FlagCodec.encode(f);
+  void send(String from, String to, WireRecord f) {
+    byte[] bytes = WireRecordCodec.encode(f);
     count(from, bytes.length);
     count(to, bytes.length);
     long latency = 200 + random.nextInt(800) + distance(from, to);
     String way = from + ">" + to;
-    SimLink link = link(from, to);
+    SimulatedLink link = link(from, to);
     // One connection: messages keep their order.
     long at = link.arrival(passed(to, bytes.length, passed(from, bytes.length, now)), latency);
     if (cuts.contains(way) || random.nextDouble() < loss) {
@@ -198,8 +198,8 @@
     }
   }
 
-  private void arrive(String from, String to, SimLink link, long n, byte[] bytes) {
-    SimNode node = nodes.get(to);
+  private void arrive(String from, String to, SimulatedLink link, long n, byte[] bytes) {
+    SimulatedNode node = nodes.get(to);
     if (node == null || cuts.contains(from + ">" + to)) {
       return;
     }
@@ -209,8 +209,8 @@
       nodes.get(from).peerLost(to);
     } else {
       try {
-        node.deliver(from, FlagCodec.decode(bytes, 0, bytes.length));
-      } catch (SignalException e) {
+        node.deliver(from, WireRecordCodec.decode(bytes, 0, bytes.length));
+      } catch (ProtocolException e) {
         throw new IllegalStateException(e);
       }
     }
