--- a/src/main/java/org/otterpond/sim/Simulation.java
+++ b/src/main/java/org/otterpond/simulation/Simulation.java
@@ -1,10 +1,10 @@
-package org.otterpond.sim;
+package org.otterpond.simulation;
 
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Random;
 import java.util.function.Consumer;
-import org.otterpond.chart.Shipper;
+import org.otterpond.config.Tenant;
 
 /**
  * Plays one schedule: founds a fleet, lets operators, clients and workers call, strikes, heals and
@@ -23,42 +23,45 @@
   private static final double ANSWERS_LOST = 0.25;
 
   private final Schedule schedule;
-  private final SimFleet fleet;
-  private final SimWorld world;
-  private final History history;
-  private final OperatorCalls operators;
-  private final OperatorRaces races;
-  private final ClaimCalls claims;
-  private final WorkerCalls workers;
-  private final FaultPlayer faults;
+  private final SimulatedCluster fleet;
+  private final SimulatedWorld world;
+  private final OperationHistory history;
+  private final OperatorClient operators;
+  private final ConcurrentOperators races;
+  private final KeyLockClients claims;
+  private final WorkerLifecycleClients workers;
+  private final FaultInjector faults;
   private final List<String> breaches = new ArrayList<>();
 
   Simulation(Schedule schedule) {
     this.schedule = schedule;
-    fleet = new SimFleet(schedule.seed(), schedule.core(), schedule.edge(), schedule.faults());
+    fleet =
+        new SimulatedCluster(schedule.seed(), schedule.core(), schedule.edge(), schedule.faults());
     world = fleet.world;
-    history = new History(world::now);
+    history = new OperationHistory(world::now);
     // Their own draws: a fault more or less does not change what they call next.
     operators =
-        new OperatorCalls(
+        new OperatorClient(
             fleet,
             history,
             new Random(schedule.seed() + 1),
             ANSWERS_LOST,
             schedule.storm() ? Integer.MAX_VALUE : FEW_CHANGES);
-    races = new OperatorRaces(fleet, operators, new Random(schedule.seed() + 2), schedule.storm());
-    claims = new ClaimCalls(fleet, operators, new Random(schedule.seed() + 3));
-    workers = new WorkerCalls(fleet, operators, new Random(schedule.seed() + 4));
-    faults = new FaultPlayer(fleet, schedule.faults(), schedule.edgeFaults());
+    races =
+        new ConcurrentOperators(
+            fleet, operators, new Random(schedule.seed() + 2), schedule.storm());
+    claims = new KeyLockClients(fleet, operators, new Random(schedule.seed() + 3));
+    workers = new WorkerLifecycleClients(fleet, operators, new Random(schedule.seed() + 4));
+    faults = new FaultInjector(fleet, schedule.faults(), schedule.edgeFaults());
     for (int i = 0; i < fleet.all.size(); i++) {
-      SimNode n = fleet.all.get(i);
+      SimulatedNode n = fleet.all.get(i);
       n.zone = schedule.zones() < 2 ? n.zone : "z" + i % schedule.zones();
       n.region = i % FAR == FAR - 1 && schedule.zones() == FAR ? "far" : n.region;
       n.selfAtOnce = true;
       n.onConfigured =
           c ->
               history.served(
-                  n.address, c.revision(), c.shippers().stream().map(Shipper::name).toList());
+                  n.address, c.revision(), c.tenants().stream().map(Tenant::name).toList());
       if (n.disk == null) {
         world.width(n.address, schedule.width());
       }
@@ -66,7 +69,7 @@
   }
 
   /** The same with something broken on purpose, once the core is founded. */
-  Outcome run(Consumer<SimFleet> breakage) {
+  ScheduleOutcome run(Consumer<SimulatedCluster> breakage) {
     world.run(FOUNDING);
     if (fleet.leader() == null) {
       breaches.add("liveness: no core was founded");
@@ -82,7 +85,7 @@
     claims.stop();
     workers.stop();
     world.run(longestFault());
-    fleet.all.forEach(SimNode::start);
+    fleet.all.forEach(SimulatedNode::start);
     world.run(HEALING);
     operators.settle();
     world.run(LAST_CALLS);
@@ -91,7 +94,7 @@
     return outcome();
   }
 
-  Outcome run() {
+  ScheduleOutcome run() {
     return run(f -> {});
   }
 
@@ -120,7 +123,7 @@
     } else if (operators.confirmed == before) {
       breaches.add("liveness: no change is taken at the end");
     }
-    for (SimNode n : fleet.all) {
+    for (SimulatedNode n : fleet.all) {
       if (n.up() && n.node.revision() != operators.seen()) {
         breaches.add(
             "liveness: "
@@ -144,8 +147,8 @@
     }
   }
 
-  private Outcome outcome() {
-    return new Outcome(
+  private ScheduleOutcome outcome() {
+    return new ScheduleOutcome(
         List.copyOf(breaches),
         history.operations.size(),
         operators.confirmed,
--- a/src/main/java/org/otterpond/sim/WorkerCalls.java
+++ b/src/main/java/org/otterpond/simulation/WorkerLifecycleClients.java
@@ -1,27 +1,27 @@
-package org.otterpond.sim;
+package org.otterpond.simulation;
 
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Random;
-import org.otterpond.harbour.Vessel;
-import org.otterpond.harbour.VesselState;
+import org.otterpond.control.state.WorkerInstance;
+import org.otterpond.control.state.WorkerState;
 
 /**
  * Workers who tell any node that they serve and, after a while, that they leave, until that is
  * acknowledged.
  */
-final class WorkerCalls {
+final class WorkerLifecycleClients {
   private static final long BEAT = 400_000;
 
-  private final SimFleet fleet;
-  private final SimWorld world;
-  private final OperatorCalls nodes;
+  private final SimulatedCluster fleet;
+  private final SimulatedWorld world;
+  private final OperatorClient nodes;
   private final Random random;
   private boolean going = true;
   private int number;
   private final List<String> acknowledged = new ArrayList<>();
 
-  WorkerCalls(SimFleet fleet, OperatorCalls nodes, Random random) {
+  WorkerLifecycleClients(SimulatedCluster fleet, OperatorClient nodes, Random random) {
     this.fleet = fleet;
     this.world = fleet.world;
     this.nodes = nodes;
@@ -48,7 +48,7 @@
       leave(id, sequence);
       return;
     }
-    tell(fleet.worker(id, VesselState.IN_SERVICE, sequence), () -> {});
+    tell(fleet.worker(id, WorkerState.IN_SERVICE, sequence), () -> {});
     world.at(BEAT, () -> beat(id, sequence + 1, left - 1));
   }
 
@@ -57,7 +57,7 @@
       return;
     }
     tell(
-        fleet.worker(id, VesselState.DRAINING, sequence),
+        fleet.worker(id, WorkerState.DRAINING, sequence),
         () -> {
           if (!acknowledged.contains(id)) {
             acknowledged.add(id);
@@ -66,8 +66,8 @@
     world.at(BEAT + random.nextInt(800_000), () -> leave(id, sequence + 1));
   }
 
-  private void tell(Vessel v, Runnable accepted) {
-    SimNode n = nodes.anyNode();
+  private void tell(WorkerInstance v, Runnable accepted) {
+    SimulatedNode n = nodes.anyNode();
     if (n != null) {
       n.call(
           nodes.connection(),
@@ -89,10 +89,10 @@
   /** Of those whose leaving was acknowledged, any that a node still takes to be in service. */
   List<String> forgotten() {
     List<String> out = new ArrayList<>();
-    for (SimNode n : fleet.all) {
+    for (SimulatedNode n : fleet.all) {
       for (String id : acknowledged) {
-        Vessel v = n.workers.get(id);
-        if (n.up() && v != null && v.state() == VesselState.IN_SERVICE) {
+        WorkerInstance v = n.workers.get(id);
+        if (n.up() && v != null && v.state() == WorkerState.IN_SERVICE) {
           out.add(id + " at " + n.address);
         }
       }
--- a/src/main/java/org/otterpond/logbook/Folder.java
+++ b/src/main/java/org/otterpond/storage/DurableDirectory.java
@@ -1,4 +1,4 @@
-package org.otterpond.logbook;
+package org.otterpond.storage;
 
 import java.io.IOException;
 import java.nio.channels.FileChannel;
@@ -13,10 +13,10 @@
  * that the file is there, or is gone, is kept by a sync of its folder only, and until then each
  * name may come or go by itself.
  */
-class Folder {
+class DurableDirectory {
   private final Path path;
 
-  Folder(Path path) {
+  DurableDirectory(Path path) {
     this.path = path;
   }
 
--- a/src/main/java/org/otterpond/logbook/Frames.java
+++ b/src/main/java/org/otterpond/storage/RecordFraming.java
@@ -1,41 +1,43 @@
-package org.otterpond.logbook;
+package org.otterpond.storage;
 
 import java.io.IOException;
 import java.nio.ByteBuffer;
 import java.nio.channels.FileChannel;
 import java.util.zip.CRC32C;
-import org.otterpond.signal.Bale;
-import org.otterpond.signal.Flag;
-import org.otterpond.signal.FlagCodec;
-import org.otterpond.signal.SignalException;
+import org.otterpond.protocol.CompressedPayload;
+import org.otterpond.protocol.ProtocolException;
+import org.otterpond.protocol.WireRecord;
+import org.otterpond.protocol.WireRecordCodec;
 
 /** Records as they stand in a file: length, CRC-32C, CBOR. */
-final class Frames {
+final class RecordFraming {
   static final int HEAD = 8;
   static final int MAX_RECORD = 48 << 20;
   private static final int LONG = 4096;
   private static final int SLICE = 64 * 1024;
   private static final int ZLIB = 0x78;
 
-  private Frames() {}
+  private RecordFraming() {}
 
-  static byte[] of(Flag f) {
-    return of(FlagCodec.encode(f));
+  static byte[] of(WireRecord f) {
+    return of(WireRecordCodec.encode(f));
   }
 
   /** The same with a long record packed; a packed one begins as no map in CBOR does. */
-  static byte[] packed(Flag f) {
-    byte[] body = FlagCodec.encode(f);
+  static byte[] packed(WireRecord f) {
+    byte[] body = WireRecordCodec.encode(f);
     // What stands in it as bytes was packed before.
     long bare = body.length;
     for (Object v : f.fields().values()) {
       bare -= v instanceof byte[] b ? b.length : 0;
     }
-    return of(bare > LONG ? Bale.pack(f) : body);
+    return of(bare > LONG ? CompressedPayload.pack(f) : body);
   }
 
-  static Flag read(byte[] body) throws SignalException {
-    return body[0] == ZLIB ? Bale.unpack(body) : FlagCodec.decode(body, 0, body.length);
+  static WireRecord read(byte[] body) throws ProtocolException {
+    return body[0] == ZLIB
+        ? CompressedPayload.unpack(body)
+        : WireRecordCodec.decode(body, 0, body.length);
   }
 
   private static byte[] of(byte[] body) {
--- a/src/main/java/org/otterpond/message/StoreDisk.java
+++ b/src/main/java/org/otterpond/storage/SegmentStore.java
@@ -1,12 +1,12 @@
-package org.otterpond.message;
+package org.otterpond.storage;
 
 import java.util.function.LongConsumer;
-import org.otterpond.signal.Flag;
+import org.otterpond.protocol.WireRecord;
 
 /** The disk of a machine that stores messages. */
-public interface StoreDisk extends Records {
+public interface SegmentStore extends RecordReader {
   /** Appends a record; told its place once it is durable, or something below 0. */
-  void append(Flag record, LongConsumer done);
+  void append(WireRecord record, LongConsumer done);
 
   /** Whether there is hardly room for more. */
   boolean nearlyFull();
--- a/src/main/java/org/otterpond/logbook/SegmentLog.java
+++ b/src/main/java/org/otterpond/storage/SegmentedLog.java
@@ -1,4 +1,4 @@
-package org.otterpond.logbook;
+package org.otterpond.storage;
 
 import java.io.BufferedInputStream;
 import java.io.DataInputStream;
@@ -13,21 +13,21 @@
 import java.util.TreeMap;
 import java.util.function.BiConsumer;
 import java.util.stream.Stream;
-import org.otterpond.signal.Flag;
-import org.otterpond.signal.FlagCodec;
-import org.otterpond.signal.SignalException;
+import org.otterpond.protocol.ProtocolException;
+import org.otterpond.protocol.WireRecord;
+import org.otterpond.protocol.WireRecordCodec;
 
 /**
  * A journal in segments, whose records can be read back by their places: the number of the segment
  * and the offset in it. Segments go from the oldest on, once all that counts in them stands further
  * on. All methods but the constructor are called on one thread.
  */
-public final class SegmentLog {
+public final class SegmentedLog {
   private static final int READ_AT_ONCE = 64 * 1024;
   private static final String PREFIX = "seg-";
   private static final int PLACE_BITS = 32;
 
-  private final Folder folder;
+  private final DurableDirectory folder;
   private final TreeMap<Long, FileChannel> segments = new TreeMap<>();
   private final TreeMap<Long, Long> sizes = new TreeMap<>();
   private long end;
@@ -37,11 +37,11 @@
   /** Whether a removed segment may still come back, as the folder was not synced since. */
   private boolean removalOpen;
 
-  public SegmentLog(Path folder) {
-    this(new Folder(folder));
+  public SegmentedLog(Path folder) {
+    this(new DurableDirectory(folder));
   }
 
-  SegmentLog(Folder folder) {
+  SegmentedLog(DurableDirectory folder) {
     this.folder = folder;
   }
 
@@ -58,7 +58,7 @@
    * Reads everything in its order. A record that is not whole ends its segment: what follows it
    * there was never answered.
    */
-  public void open(BiConsumer<Flag, Long> each) throws LogbookException {
+  public void open(BiConsumer<WireRecord, Long> each) throws StorageException {
     try {
       folder.make();
       List<Long> numbers = new ArrayList<>();
@@ -83,7 +83,7 @@
       }
       sound = settled();
     } catch (IOException | NumberFormatException e) {
-      throw new LogbookException("journal not readable in " + folder.path(), e);
+      throw new StorageException("journal not readable in " + folder.path(), e);
     }
   }
 
@@ -107,28 +107,31 @@
     return folder.file(PREFIX + n);
   }
 
-  private long scan(FileChannel c, long segment, BiConsumer<Flag, Long> each) throws IOException {
+  private long scan(FileChannel c, long segment, BiConsumer<WireRecord, Long> each)
+      throws IOException {
     long size = c.size();
     long whole = 0;
     try (DataInputStream in =
         new DataInputStream(
             new BufferedInputStream(Files.newInputStream(file(segment)), READ_AT_ONCE))) {
-      while (size - whole >= Frames.HEAD) {
+      while (size - whole >= RecordFraming.HEAD) {
         int length = in.readInt();
         int crc = in.readInt();
-        if (length <= 0 || length > Frames.MAX_RECORD || length > size - whole - Frames.HEAD) {
+        if (length <= 0
+            || length > RecordFraming.MAX_RECORD
+            || length > size - whole - RecordFraming.HEAD) {
           break;
         }
         byte[] body = in.readNBytes(length);
-        if (body.length < length || Frames.crcOf(body, 0, length) != crc) {
+        if (body.length < length || RecordFraming.crcOf(body, 0, length) != crc) {
           break;
         }
         try {
-          each.accept(FlagCodec.decode(body, 0, length), startOf(segment) + whole);
-        } catch (SignalException e) {
+          each.accept(WireRecordCodec.decode(body, 0, length), startOf(segment) + whole);
+        } catch (ProtocolException e) {
           break;
         }
-        whole += Frames.HEAD + length;
+        whole += RecordFraming.HEAD + length;
       }
     }
     return whole;
@@ -161,7 +164,7 @@
   }
 
   /** Begins a new segment with these records; it counts once it is synced with its name. */
-  public void begin(List<Flag> head) throws LogbookException {
+  public void begin(List<WireRecord> head) throws StorageException {
     long n = next++;
     FileChannel c = null;
     try {
@@ -185,7 +188,7 @@
       // before it any more until another one has been begun.
       sound = false;
       giveUp(c, n);
-      throw new LogbookException("segment not begun", e);
+      throw new StorageException("segment not begun", e);
     }
   }
 
@@ -200,15 +203,15 @@
     }
   }
 
-  private static List<byte[]> frames(List<Flag> records) {
+  private static List<byte[]> frames(List<WireRecord> records) {
     List<byte[]> out = new ArrayList<>();
     records.forEach(r -> out.add(frame(r)));
     return out;
   }
 
   /** A record as it stands in a segment. */
-  public static byte[] frame(Flag f) {
-    return Frames.of(f);
+  public static byte[] frame(WireRecord f) {
+    return RecordFraming.of(f);
   }
 
   private static long write(FileChannel c, long at, List<byte[]> frames) throws IOException {
@@ -218,13 +221,13 @@
     }
     ByteBuffer b = ByteBuffer.allocate(size);
     frames.forEach(b::put);
-    return Frames.write(c, b.array(), at);
+    return RecordFraming.write(c, b.array(), at);
   }
 
   /** Appends and syncs once; the places of the records. After a failure nothing of them counts. */
-  public long[] append(List<byte[]> frames) throws LogbookException {
+  public long[] append(List<byte[]> frames) throws StorageException {
     if (!sound()) {
-      throw new LogbookException("no sound segment", null);
+      throw new StorageException("no sound segment", null);
     }
     long segment = segments.lastKey();
     FileChannel c = segments.get(segment);
@@ -248,33 +251,34 @@
       } catch (IOException ignored) {
         // A record that was never answered may come back after a start; it is a prepared one then.
       }
-      throw new LogbookException("journal not writable", e);
+      throw new StorageException("journal not writable", e);
     }
   }
 
   /** Reads a record back; null if it is not there. */
-  public Flag read(long place) {
+  public WireRecord read(long place) {
     FileChannel c = segments.get(segmentOf(place));
     if (c == null) {
       return null;
     }
     long at = place - startOf(segmentOf(place));
     try {
-      ByteBuffer head = ByteBuffer.allocate(Frames.HEAD);
-      if (c.read(head, at) < Frames.HEAD) {
+      ByteBuffer head = ByteBuffer.allocate(RecordFraming.HEAD);
+      if (c.read(head, at) < RecordFraming.HEAD) {
         return null;
       }
       head.flip();
       int length = head.getInt();
       int crc = head.getInt();
-      if (length <= 0 || length > Frames.MAX_RECORD) {
+      if (length <= 0 || length > RecordFraming.MAX_RECORD) {
         return null;
       }
       byte[] body = new byte[length];
-      return Frames.read(c, body, at + Frames.HEAD) && Frames.crcOf(body, 0, length) == crc
-          ? FlagCodec.decode(body, 0, length)
+      return RecordFraming.read(c, body, at + RecordFraming.HEAD)
+              && RecordFraming.crcOf(body, 0, length) == crc
+          ? WireRecordCodec.decode(body, 0, length)
           : null;
-    } catch (IOException | SignalException e) {
+    } catch (IOException | ProtocolException e) {
       return null;
     }
   }
@@ -284,7 +288,7 @@
    * may go: else the older of two might come back without the one that says how what it holds
    * ended.
    */
-  public void dropOldest() throws LogbookException {
+  public void dropOldest() throws StorageException {
     if (segments.size() < 2) {
       return;
     }
@@ -297,7 +301,7 @@
       sizes.remove(n);
       syncRemoval();
     } catch (IOException e) {
-      throw new LogbookException("segment not removed", e);
+      throw new StorageException("segment not removed", e);
     }
   }
 
--- a/src/main/java/org/otterpond/keel/SegmentPurser.java
+++ b/src/main/java/org/otterpond/storage/SegmentedLogWriter.java
@@ -1,4 +1,4 @@
-package org.otterpond.keel;
+package org.otterpond.storage;
 
 import com.google.common.util.concurrent.ThreadFactoryBuilder;
 import java.util.ArrayList;
@@ -9,11 +9,8 @@
 import java.util.function.Consumer;
 import java.util.function.LongConsumer;
 import java.util.function.Supplier;
-import org.otterpond.logbook.LogbookException;
-import org.otterpond.logbook.SegmentLog;
-import org.otterpond.message.StoreDisk;
-import org.otterpond.quay.Quay;
-import org.otterpond.signal.Flag;
+import org.otterpond.net.EventLoop;
+import org.otterpond.protocol.WireRecord;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -21,8 +18,8 @@
  * Writes and reads the message journal on a thread of its own: all that waits goes in one append
  * and one sync.
  */
-final class SegmentPurser implements StoreDisk {
-  private static final Logger LOG = LoggerFactory.getLogger(SegmentPurser.class);
+public final class SegmentedLogWriter implements SegmentStore {
+  private static final Logger LOG = LoggerFactory.getLogger(SegmentedLogWriter.class);
   private static final long LARGEST_SEGMENT = 16L << 20;
   private static final int SEGMENTS = 24;
   private static final double FULL = 0.85;
@@ -31,11 +28,11 @@
       Executors.newSingleThreadExecutor(
           new ThreadFactoryBuilder().setNameFormat("disk").setDaemon(true).build());
   private final Executor owner;
-  private final SegmentLog log;
+  private final SegmentedLog log;
   private String diskId;
   private final long capacity;
   private final long segmentSize;
-  private Supplier<List<Flag>> head = List::of;
+  private Supplier<List<WireRecord>> head = List::of;
 
   private List<byte[]> frames = new ArrayList<>();
   private List<LongConsumer> waiting = new ArrayList<>();
@@ -49,7 +46,7 @@
   private long newest;
   private long oldestClosedAt;
 
-  SegmentPurser(Executor owner, SegmentLog log, long capacityBytes) {
+  public SegmentedLogWriter(Executor owner, SegmentedLog log, long capacityBytes) {
     this.owner = owner;
     this.log = log;
     this.capacity = capacityBytes;
@@ -57,16 +54,16 @@
   }
 
   /** Once the journal has been read. */
-  void open(String ofDisk, Supplier<List<Flag>> headOf) {
+  public void open(String ofDisk, Supplier<List<WireRecord>> headOf) {
     diskId = ofDisk;
     head = headOf;
-    oldestClosedAt = Quay.now();
+    oldestClosedAt = EventLoop.now();
     look(log.totalSize(), log.newestSize(), log.sound(), log.oldest(), log.newest());
   }
 
   /** What a segment begins with. */
-  static Flag identity(String diskId) {
-    return new Flag("disk").with("disk", diskId);
+  public static WireRecord identity(String diskId) {
+    return new WireRecord("disk").with("disk", diskId);
   }
 
   private void look(
@@ -76,15 +73,15 @@
     sound = soundNow;
     if (newest != newestNow || oldest != oldestNow) {
       // The oldest was closed when the next was begun, or before this process began.
-      oldestClosedAt = oldest != oldestNow || oldest == newest ? Quay.now() : oldestClosedAt;
+      oldestClosedAt = oldest != oldestNow || oldest == newest ? EventLoop.now() : oldestClosedAt;
     }
     oldest = oldestNow;
     newest = newestNow;
   }
 
   @Override
-  public void append(Flag record, LongConsumer done) {
-    frames.add(SegmentLog.frame(record));
+  public void append(WireRecord record, LongConsumer done) {
+    frames.add(SegmentedLog.frame(record));
     waiting.add(done);
     if (!writing && !due) {
       due = true;
@@ -102,12 +99,12 @@
     List<LongConsumer> told = waiting;
     frames = new ArrayList<>();
     waiting = new ArrayList<>();
-    List<Flag> fresh = null;
+    List<WireRecord> fresh = null;
     if (!sound || newestSize > segmentSize) {
       fresh = new ArrayList<>(List.of(identity(diskId)));
       fresh.addAll(head.get());
     }
-    List<Flag> begin = fresh;
+    List<WireRecord> begin = fresh;
     disk.execute(
         () -> {
           long[] places = write(begin, now);
@@ -128,13 +125,13 @@
         });
   }
 
-  private long[] write(List<Flag> begin, List<byte[]> now) {
+  private long[] write(List<WireRecord> begin, List<byte[]> now) {
     try {
       if (begin != null) {
         log.begin(begin);
       }
       return log.append(now);
-    } catch (LogbookException e) {
+    } catch (StorageException e) {
       LOG.warn("event=journal_append_failed cause=\"{}\"", String.valueOf(e.getCause()));
       return null;
     } catch (RuntimeException | Error e) {
@@ -144,15 +141,15 @@
   }
 
   @Override
-  public void read(long place, Consumer<Flag> use) {
+  public void read(long place, Consumer<WireRecord> use) {
     disk.execute(
         () -> {
-          Flag f = read(place);
+          WireRecord f = read(place);
           owner.execute(() -> use.accept(f));
         });
   }
 
-  private Flag read(long place) {
+  private WireRecord read(long place) {
     try {
       return log.read(place);
     } catch (RuntimeException | Error e) {
@@ -168,12 +165,12 @@
 
   @Override
   public long oldestEnd() {
-    return SegmentLog.startOf(oldest + 1);
+    return SegmentedLog.startOf(oldest + 1);
   }
 
   @Override
   public boolean oldestClosedFor(long micros) {
-    return newest > oldest && Quay.now() - oldestClosedAt > micros;
+    return newest > oldest && EventLoop.now() - oldestClosedAt > micros;
   }
 
   @Override
@@ -182,7 +179,7 @@
         () -> {
           try {
             log.dropOldest();
-          } catch (LogbookException e) {
+          } catch (StorageException e) {
             LOG.warn("event=segment_not_removed cause=\"{}\"", String.valueOf(e.getCause()));
           }
           long t = log.totalSize();
--- a/src/main/java/org/otterpond/logbook/Logbook.java
+++ b/src/main/java/org/otterpond/storage/WriteAheadLog.java
@@ -1,4 +1,4 @@
-package org.otterpond.logbook;
+package org.otterpond.storage;
 
 import java.io.BufferedInputStream;
 import java.io.DataInputStream;
@@ -12,45 +12,45 @@
 import java.util.List;
 import java.util.function.Consumer;
 import java.util.stream.Stream;
-import org.otterpond.signal.Flag;
-import org.otterpond.signal.SignalException;
+import org.otterpond.protocol.ProtocolException;
+import org.otterpond.protocol.WireRecord;
 
 /**
  * An append-only journal of framed records (length, CRC-32C, CBOR), in numbered files. Reading ends
  * at the first frame that is not whole, which after a loss of power can only be one whose sync was
  * never answered. A file begins with everything that came before it, so one whole file is enough.
  */
-public final class Logbook {
+public final class WriteAheadLog {
   private static final String PREFIX = "log-";
   private static final int READ_AT_ONCE = 64 * 1024;
   private static final long ROTATE_AT = 4L << 20;
   private static final long ROOM = 1L << 20;
 
-  private final Folder folder;
+  private final DurableDirectory folder;
   private FileChannel channel;
   private Path opened;
   private long number;
   private long end;
   private boolean rotated = true;
 
-  public Logbook(Path folder) {
-    this(new Folder(folder));
+  public WriteAheadLog(Path folder) {
+    this(new DurableDirectory(folder));
   }
 
-  Logbook(Folder folder) {
+  WriteAheadLog(DurableDirectory folder) {
     this.folder = folder;
   }
 
   /**
    * Opens the journal: its first record, which has the disk's identity; null means a blank disk.
    */
-  public Flag open() throws LogbookException {
+  public WireRecord open() throws StorageException {
     try {
       folder.make();
       List<Long> numbers = numbers();
       for (int i = numbers.size() - 1; i >= 0; i--) {
         Path file = file(numbers.get(i));
-        Flag base = look(file);
+        WireRecord base = look(file);
         if (base != null) {
           number = numbers.get(numbers.size() - 1);
           channel = FileChannel.open(file, StandardOpenOption.WRITE);
@@ -64,7 +64,7 @@
       number = numbers.isEmpty() ? 0 : numbers.get(numbers.size() - 1);
       return null;
     } catch (IOException e) {
-      throw new LogbookException("journal not readable in " + folder.path(), e);
+      throw new StorageException("journal not readable in " + folder.path(), e);
     }
   }
 
@@ -72,7 +72,7 @@
    * Gives what stood behind the first record when the journal was opened, one record in memory at a
    * time.
    */
-  public void replay(Consumer<Flag> each) throws LogbookException {
+  public void replay(Consumer<WireRecord> each) throws StorageException {
     if (opened == null) {
       return;
     }
@@ -80,15 +80,15 @@
       long left = end;
       boolean first = true;
       for (byte[] body = next(in, left); body != null; body = next(in, left)) {
-        left -= Frames.HEAD + body.length;
+        left -= RecordFraming.HEAD + body.length;
         if (!first) {
-          each.accept(Frames.read(body));
+          each.accept(RecordFraming.read(body));
         }
         first = false;
       }
       opened = null;
-    } catch (IOException | SignalException e) {
-      throw new LogbookException("journal not readable in " + folder.path(), e);
+    } catch (IOException | ProtocolException e) {
+      throw new StorageException("journal not readable in " + folder.path(), e);
     }
   }
 
@@ -98,34 +98,34 @@
 
   /** The next whole record of what is left; null if there is none. */
   private static byte[] next(DataInputStream in, long left) throws IOException {
-    if (left < Frames.HEAD) {
+    if (left < RecordFraming.HEAD) {
       return null;
     }
     int length = in.readInt();
     int crc = in.readInt();
-    if (length <= 0 || length > Frames.MAX_RECORD || length > left - Frames.HEAD) {
+    if (length <= 0 || length > RecordFraming.MAX_RECORD || length > left - RecordFraming.HEAD) {
       return null;
     }
     byte[] body = in.readNBytes(length);
-    return body.length == length && Frames.crcOf(body, 0, length) == crc ? body : null;
+    return body.length == length && RecordFraming.crcOf(body, 0, length) == crc ? body : null;
   }
 
   /**
    * How far the file is whole, and its first record; null if it does not stand for all before it.
    */
-  private Flag look(Path file) throws IOException {
-    Flag base = null;
+  private WireRecord look(Path file) throws IOException {
+    WireRecord base = null;
     long records = 0;
     end = 0;
     try (DataInputStream in = stream(file)) {
       long size = Files.size(file);
       for (byte[] body = next(in, size); body != null; body = next(in, size - end)) {
         if (records++ == 0) {
-          base = Frames.read(body);
+          base = RecordFraming.read(body);
         }
-        end += Frames.HEAD + body.length;
+        end += RecordFraming.HEAD + body.length;
       }
-    } catch (SignalException e) {
+    } catch (ProtocolException e) {
       return null;
     }
     return base != null && base.kind().equals("base") && records > base.number("count")
@@ -172,23 +172,23 @@
   }
 
   /** A record as it stands in the file. */
-  public static byte[] frame(Flag f) {
-    return Frames.packed(f);
+  public static byte[] frame(WireRecord f) {
+    return RecordFraming.packed(f);
   }
 
   /** Appends frames and syncs once. After a failure nothing of them counts. */
-  public void append(List<byte[]> frames) throws LogbookException {
+  public void append(List<byte[]> frames) throws StorageException {
     int size = 0;
     for (byte[] f : frames) {
       size += f.length;
     }
     if (!rotated) {
-      throw new LogbookException("journal not rotated", null);
+      throw new StorageException("journal not rotated", null);
     }
     ByteBuffer b = ByteBuffer.allocate(size);
     frames.forEach(b::put);
     try {
-      long at = Frames.write(channel, b.array(), end);
+      long at = RecordFraming.write(channel, b.array(), end);
       channel.force(false);
       end = at;
     } catch (IOException | RuntimeException | Error e) {
@@ -198,7 +198,7 @@
         // The next append writes from the same place; what stands there fails its check or is
         // replaced.
       }
-      throw new LogbookException("journal not writable", e);
+      throw new StorageException("journal not writable", e);
     }
   }
 
@@ -207,7 +207,7 @@
    * is synced and its folder too: a file that is whole but whose name is lost leaves a blank disk
    * once the older ones are gone.
    */
-  public void rotate(String diskId, List<Flag> base) throws LogbookException {
+  public void rotate(String diskId, List<WireRecord> base) throws StorageException {
     long next = ++number;
     Path file = file(next);
     FileChannel fresh = null;
@@ -219,11 +219,11 @@
               StandardOpenOption.WRITE,
               StandardOpenOption.TRUNCATE_EXISTING);
       long at = 0;
-      List<Flag> all = new ArrayList<>();
-      all.add(new Flag("base").with("count", base.size()).with("disk", diskId));
+      List<WireRecord> all = new ArrayList<>();
+      all.add(new WireRecord("base").with("count", base.size()).with("disk", diskId));
       all.addAll(base);
-      for (Flag f : all) {
-        at = Frames.write(fresh, frame(f), at);
+      for (WireRecord f : all) {
+        at = RecordFraming.write(fresh, frame(f), at);
       }
       fresh.force(true);
       folder.sync();
@@ -235,7 +235,7 @@
     } catch (IOException | RuntimeException | Error e) {
       rotated = false;
       giveUp(fresh, file);
-      throw new LogbookException("journal not rotated", e);
+      throw new StorageException("journal not rotated", e);
     }
   }
 
--- a/src/main/java/org/otterpond/keel/Purser.java
+++ b/src/main/java/org/otterpond/storage/WriteAheadLogWriter.java
@@ -1,4 +1,4 @@
-package org.otterpond.keel;
+package org.otterpond.storage;
 
 import com.google.common.util.concurrent.ThreadFactoryBuilder;
 import java.util.ArrayList;
@@ -8,23 +8,21 @@
 import java.util.concurrent.Executors;
 import java.util.function.Consumer;
 import java.util.function.Supplier;
-import org.otterpond.logbook.Logbook;
-import org.otterpond.logbook.LogbookException;
-import org.otterpond.signal.Flag;
+import org.otterpond.protocol.WireRecord;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /** Writes the journal on a thread of its own: all that waits goes in one append and one sync. */
-final class Purser {
-  private static final Logger LOG = LoggerFactory.getLogger(Purser.class);
+public final class WriteAheadLogWriter {
+  private static final Logger LOG = LoggerFactory.getLogger(WriteAheadLogWriter.class);
 
   private final ExecutorService disk =
       Executors.newSingleThreadExecutor(
           new ThreadFactoryBuilder().setNameFormat("disk").setDaemon(true).build());
   private final Executor owner;
-  private final Logbook logbook;
+  private final WriteAheadLog log;
   private final String diskId;
-  private final Supplier<List<Flag>> base;
+  private final Supplier<List<WireRecord>> base;
 
   private List<byte[]> frames = new ArrayList<>();
   private List<Consumer<Boolean>> waiting = new ArrayList<>();
@@ -33,22 +31,22 @@
   private final long capacity;
   private long rotateAt;
 
-  Purser(
+  public WriteAheadLogWriter(
       Executor owner,
-      Logbook logbook,
+      WriteAheadLog log,
       String diskId,
-      Supplier<List<Flag>> base,
+      Supplier<List<WireRecord>> base,
       long capacityBytes) {
     this.capacity = capacityBytes;
-    this.rotateAt = Logbook.rotateAt(0, capacityBytes);
+    this.rotateAt = WriteAheadLog.rotateAt(0, capacityBytes);
     this.owner = owner;
-    this.logbook = logbook;
+    this.log = log;
     this.diskId = diskId;
     this.base = base;
   }
 
-  void journal(Flag record, Consumer<Boolean> done) {
-    frames.add(Logbook.frame(record));
+  public void journal(WireRecord record, Consumer<Boolean> done) {
+    frames.add(WriteAheadLog.frame(record));
     waiting.add(done);
     if (!writing && !due) {
       due = true;
@@ -68,7 +66,7 @@
     waiting = new ArrayList<>();
     // What is in memory already includes the records that wait, so a fresh file stands for them
     // too.
-    List<Flag> fresh = logbook.size() > rotateAt || !logbook.sound() ? base.get() : null;
+    List<WireRecord> fresh = log.size() > rotateAt || !log.sound() ? base.get() : null;
     disk.execute(
         () -> {
           boolean ok = written(now, fresh);
@@ -85,7 +83,7 @@
    * Whatever comes of it is an answer: a node whose writer ended unseen would count as a member and
    * hold nothing.
    */
-  private boolean written(List<byte[]> now, List<Flag> fresh) {
+  private boolean written(List<byte[]> now, List<WireRecord> fresh) {
     try {
       return write(now, fresh);
     } catch (RuntimeException | Error e) {
@@ -94,21 +92,21 @@
     }
   }
 
-  private boolean write(List<byte[]> now, List<Flag> fresh) {
+  private boolean write(List<byte[]> now, List<WireRecord> fresh) {
     if (fresh != null) {
       try {
-        logbook.rotate(diskId, fresh);
-        rotateAt = Logbook.rotateAt(logbook.size(), capacity);
+        log.rotate(diskId, fresh);
+        rotateAt = WriteAheadLog.rotateAt(log.size(), capacity);
         return true;
-      } catch (LogbookException e) {
+      } catch (StorageException e) {
         LOG.warn("event=journal_rotation_failed cause=\"{}\"", String.valueOf(e.getCause()));
         return false;
       }
     }
     try {
-      logbook.append(now);
+      log.append(now);
       return true;
-    } catch (LogbookException e) {
+    } catch (StorageException e) {
       LOG.warn("event=journal_append_failed cause=\"{}\"", String.valueOf(e.getCause()));
       return false;
     }
--- a/src/main/java/org/otterpond/drill/HollowNode.java
+++ b/src/main/java/org/otterpond/tools/HollowNode.java
@@ -1,32 +1,32 @@
-package org.otterpond.drill;
+package org.otterpond.tools;
 
 import java.io.IOException;
 import java.util.List;
 import java.util.Map;
 import java.util.concurrent.ThreadLocalRandom;
 import java.util.function.Consumer;
-import org.otterpond.chart.Configuration;
-import org.otterpond.harbour.Deck;
-import org.otterpond.harbour.HarbourNode;
-import org.otterpond.harbour.HarbourTerms;
-import org.otterpond.harbour.NodeIdentity;
-import org.otterpond.harbour.QuotaTerms;
-import org.otterpond.harbour.Shore;
-import org.otterpond.harbour.Vessel;
-import org.otterpond.harbour.VesselState;
-import org.otterpond.harbour.WatchTimes;
-import org.otterpond.quay.Links;
-import org.otterpond.quay.Quay;
-import org.otterpond.signal.Flag;
-import org.otterpond.signal.FlagCodec;
+import org.otterpond.config.GatewayConfiguration;
+import org.otterpond.control.agent.ControlPlaneAgent;
+import org.otterpond.control.agent.NodeIdentity;
+import org.otterpond.control.epoch.EpochTimeouts;
+import org.otterpond.control.primary.ControlPlaneSettings;
+import org.otterpond.control.primary.DataPlane;
+import org.otterpond.control.primary.QuotaSettings;
+import org.otterpond.control.state.WorkerInstance;
+import org.otterpond.control.state.WorkerState;
+import org.otterpond.net.EventLoop;
+import org.otterpond.net.PeerTransport;
+import org.otterpond.protocol.WireRecord;
+import org.otterpond.protocol.WireRecordCodec;
+import org.otterpond.runtime.NodeRuntime;
 
 /** The control side of a node without its data path; many share one process, thread and clock. */
-final class HollowNode implements Deck, Shore {
+final class HollowNode implements NodeRuntime, DataPlane {
   private static final long HEARTBEAT = 1_500_000;
 
-  private final Quay quay;
-  private final Links links;
-  final HarbourNode node;
+  private final EventLoop eventLoop;
+  private final PeerTransport links;
+  final ControlPlaneAgent node;
   long sentBytes;
   long sentMessages;
   long heardBytes;
@@ -41,24 +41,25 @@
   private long number;
   private final long life = ThreadLocalRandom.current().nextLong() >>> 1;
 
-  HollowNode(Quay quay, String address, String zone, List<String> seeds) throws IOException {
-    this.quay = quay;
+  HollowNode(EventLoop eventLoop, String address, String zone, List<String> seeds)
+      throws IOException {
+    this.eventLoop = eventLoop;
     this.node =
-        new HarbourNode(
+        new ControlPlaneAgent(
             this,
             new NodeIdentity(address, "hollow-" + address, zone, null, false, false, seeds, life),
             this,
-            new HarbourTerms(
+            new ControlPlaneSettings(
                 HEARTBEAT,
                 60_000_000,
                 1,
-                new QuotaTerms(5_000_000, 0.1, 20, WatchTimes.standard().lent())));
-    this.links = new Links(quay, address, this::heard, node::peerLost);
+                new QuotaSettings(5_000_000, 0.1, 20, EpochTimeouts.standard().lent())));
+    this.links = new PeerTransport(eventLoop, address, this::heard, node::peerLost);
   }
 
-  private void heard(String from, Flag f) {
+  private void heard(String from, WireRecord f) {
     heardMessages++;
-    heardBytes += FlagCodec.encode(f).length;
+    heardBytes += WireRecordCodec.encode(f).length;
     node.onMessage(from, f);
   }
 
@@ -66,19 +67,19 @@
   void beats(List<String> ids, List<String> addresses, String service, long sequence) {
     for (int i = 0; i < ids.size(); i++) {
       node.beat(
-          new Vessel(
+          new WorkerInstance(
               ids.get(i),
               service,
               addresses.get(i),
               "zone",
               "v1",
               4,
-              VesselState.IN_SERVICE,
+              WorkerState.IN_SERVICE,
               sequence,
               0),
           ok -> {});
     }
-    quay.after(HEARTBEAT, () -> beats(ids, addresses, service, sequence + 1));
+    eventLoop.after(HEARTBEAT, () -> beats(ids, addresses, service, sequence + 1));
   }
 
   /**
@@ -89,14 +90,14 @@
    */
   void claims(double perSecond, double repeats) {
     ThreadLocalRandom random = ThreadLocalRandom.current();
-    quay.after(
+    eventLoop.after(
         (long) (1e6 / perSecond * (0.5 + random.nextDouble())),
         () -> {
           boolean repeat = number > 0 && random.nextDouble() < repeats;
           String key = life + "-" + (repeat ? random.nextLong(number) + 1 : ++number);
-          long asked = Quay.now();
+          long asked = EventLoop.now();
           node.ask(
-              new Flag("ask")
+              new WireRecord("ask")
                   .with("op", "claim")
                   .with("key", "host h\n" + key)
                   .with("token", repeat ? key + "-" + asked : key)
@@ -108,13 +109,13 @@
         });
   }
 
-  private void answered(Flag r, long asked) {
+  private void answered(WireRecord r, long asked) {
     if (r != null && r.truth("granted")) {
       claimed++;
-      claimMicros += Quay.now() - asked;
+      claimMicros += EventLoop.now() - asked;
     } else if (r != null) {
       repeated++;
-      repeatMicros += Quay.now() - asked;
+      repeatMicros += EventLoop.now() - asked;
     }
   }
 
@@ -122,24 +123,24 @@
 
   @Override
   public long now() {
-    return Quay.now();
+    return EventLoop.now();
   }
 
   @Override
-  public void send(String address, Flag message) {
+  public void send(String address, WireRecord message) {
     sentMessages++;
-    sentBytes += FlagCodec.encode(message).length;
+    sentBytes += WireRecordCodec.encode(message).length;
     links.send(address, message);
   }
 
   @Override
-  public void journal(Flag record, Consumer<Boolean> done) {
+  public void journal(WireRecord record, Consumer<Boolean> done) {
     throw new IllegalStateException("a hollow node has no disk");
   }
 
   @Override
   public void after(long delayMicros, Runnable task) {
-    quay.after(delayMicros, task);
+    eventLoop.after(delayMicros, task);
   }
 
   @Override
@@ -155,13 +156,13 @@
   // ------------------------------------------------------------------ news
 
   @Override
-  public void configured(Configuration configuration) {
+  public void configured(GatewayConfiguration configuration) {
     revision = configuration.revision();
-    revisionAt = Quay.now();
+    revisionAt = EventLoop.now();
   }
 
   @Override
-  public void worker(Vessel vessel) {
+  public void worker(WorkerInstance worker) {
     workers++;
   }
 
@@ -171,7 +172,7 @@
   }
 
   @Override
-  public Flag outcome(String key, String token) {
+  public WireRecord outcome(String key, String token) {
     return null;
   }
 }
--- a/src/main/java/org/otterpond/drill/TrialWorker.java
+++ b/src/main/java/org/otterpond/tools/SampleWorker.java
@@ -1,23 +1,23 @@
-package org.otterpond.drill;
+package org.otterpond.tools;
 
 import java.io.IOException;
 import java.util.concurrent.Executors;
 import java.util.concurrent.ScheduledExecutorService;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicLong;
-import org.otterpond.client.Beats;
-import org.otterpond.quay.Links;
-import org.otterpond.quay.Quay;
+import org.otterpond.client.HeartbeatSender;
+import org.otterpond.net.EventLoop;
+import org.otterpond.net.PeerTransport;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
 /** A stand-in worker that registers itself, for trying a system by hand. */
 @Command(
-    name = "trial-worker",
+    name = "sample-worker",
     description = "Runs a stand-in worker that registers with the system given.",
     mixinStandardHelpOptions = true)
-public final class TrialWorker implements java.util.concurrent.Callable<Integer> {
+public final class SampleWorker implements java.util.concurrent.Callable<Integer> {
   private static final long BEAT_MILLIS = 1_500;
 
   @Option(
@@ -39,9 +39,9 @@
 
   @Override
   public Integer call() throws IOException {
-    String id = "i-trial-" + Long.toHexString(System.nanoTime());
-    Quay quay = new Quay();
-    new StandInWorker(quay, id, Links.address(address));
+    String id = "i-sample-" + Long.toHexString(System.nanoTime());
+    EventLoop eventLoop = new EventLoop();
+    new SampleWorkerServer(eventLoop, id, PeerTransport.address(address));
     AtomicLong sequence = new AtomicLong();
     ScheduledExecutorService beats =
         Executors.newSingleThreadScheduledExecutor(
@@ -50,14 +50,14 @@
               t.setDaemon(true);
               return t;
             });
-    Beats to = new Beats(nodes);
+    HeartbeatSender to = new HeartbeatSender(nodes);
     beats.scheduleWithFixedDelay(
         () -> to.beat(id, service, address, zone, sequence.incrementAndGet()),
         0,
         BEAT_MILLIS,
         TimeUnit.MILLISECONDS);
     System.out.println("event=worker_started instance=" + id + " address=" + address);
-    quay.run();
+    eventLoop.run();
     return 0;
   }
 }
--- a/src/main/java/org/otterpond/drill/ScaleRun.java
+++ b/src/main/java/org/otterpond/tools/ScaleRun.java
@@ -1,4 +1,4 @@
-package org.otterpond.drill;
+package org.otterpond.tools;
 
 import com.google.gson.JsonArray;
 import com.google.gson.JsonObject;
@@ -15,10 +15,10 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.TimeoutException;
 import java.util.function.Supplier;
-import org.otterpond.quay.Links;
-import org.otterpond.quay.Quay;
-import org.otterpond.signal.Bale;
-import org.otterpond.signal.Flag;
+import org.otterpond.net.EventLoop;
+import org.otterpond.net.PeerTransport;
+import org.otterpond.protocol.CompressedPayload;
+import org.otterpond.protocol.WireRecord;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
@@ -89,8 +89,8 @@
 
   private final List<Process> processes = new ArrayList<>();
   private final List<HollowNode> hollow = new ArrayList<>();
-  private final List<StandInWorker> granted = new ArrayList<>();
-  private Quay quay;
+  private final List<SampleWorkerServer> granted = new ArrayList<>();
+  private EventLoop eventLoop;
 
   @Override
   public Integer call() throws Exception {
@@ -103,8 +103,8 @@
       for (int i = 1; i <= core; i++) {
         processes.add(start(folder, i));
       }
-      quay = new Quay();
-      Thread owner = new Thread(quay, "hollow");
+      eventLoop = new EventLoop();
+      Thread owner = new Thread(eventLoop, "hollow");
       owner.setDaemon(true);
       owner.start();
       return measure();
@@ -153,7 +153,7 @@
   /** Runs it on the owner thread and waits. */
   private <T> T on(Supplier<T> what) throws InterruptedException {
     CompletableFuture<T> f = new CompletableFuture<>();
-    quay.execute(() -> f.complete(what.get()));
+    eventLoop.execute(() -> f.complete(what.get()));
     try {
       return f.get(20, TimeUnit.SECONDS);
     } catch (ExecutionException | TimeoutException e) {
@@ -189,7 +189,7 @@
           () -> hollow.stream().allMatch(h -> h.node.known() != null && !h.node.outOfTouch()), 20);
       long base = revision;
       long next = ++revision;
-      long sentAt = Quay.now();
+      long sentAt = EventLoop.now();
       on(
           () -> {
             change(base, next);
@@ -202,11 +202,11 @@
       Thread.sleep(divided ? 9_000 : 4_000);
       long[] before = on(this::totals);
       double[] cpu = cpu();
-      long from = Quay.now();
+      long from = EventLoop.now();
       Thread.sleep(1000L * seconds);
       long[] after = on(this::totals);
       double[] then = cpu();
-      double s = (Quay.now() - from) / 1e6;
+      double s = (EventLoop.now() - from) / 1e6;
       double most = 0;
       double sum = 0;
       for (int i = 0; i < cpu.length; i++) {
@@ -244,7 +244,7 @@
                   int i = hollow.size() + 1;
                   HollowNode h =
                       new HollowNode(
-                          quay,
+                          eventLoop,
                           "127.0." + (2 + i / 250) + "." + (1 + i % 250) + ":" + INTERNAL,
                           "zone",
                           seeds);
@@ -259,7 +259,8 @@
                     ids.add(id);
                     addresses.add(address);
                     if (divided) {
-                      granted.add(new StandInWorker(quay, id, Links.address(address)));
+                      granted.add(
+                          new SampleWorkerServer(eventLoop, id, PeerTransport.address(address)));
                     }
                   }
                   h.beats(ids, addresses, SERVICE, 1);
@@ -306,11 +307,11 @@
         .get(0)
         .node
         .ask(
-            new Flag("ask")
+            new WireRecord("ask")
                 .with("op", "write")
                 .with("kind", "replace")
                 .with("base", base)
-                .with("text", Bale.pack(text)),
+                .with("text", CompressedPayload.pack(text)),
             10_000_000,
             1_000_000,
             r -> {});
@@ -341,9 +342,9 @@
   }
 
   private void await(Supplier<Boolean> what, int mostSeconds) throws InterruptedException {
-    long until = Quay.now() + mostSeconds * 1_000_000L;
+    long until = EventLoop.now() + mostSeconds * 1_000_000L;
     while (!on(what)) {
-      if (Quay.now() > until) {
+      if (EventLoop.now() > until) {
         throw new IllegalStateException(
             "not reached in " + mostSeconds + " s at " + hollow.size() + " nodes");
       }
--- a/src/main/java/org/otterpond/drill/Rehearsal.java
+++ b/src/main/java/org/otterpond/tools/SelfTest.java
@@ -1,4 +1,4 @@
-package org.otterpond.drill;
+package org.otterpond.tools;
 
 import java.io.IOException;
 import java.net.HttpURLConnection;
@@ -9,19 +9,19 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.Map;
-import org.otterpond.chart.ChartException;
-import org.otterpond.chart.Settings;
-import org.otterpond.keel.Keel;
-import org.otterpond.logbook.LogbookException;
-import org.otterpond.quay.Links;
-import org.otterpond.quay.Quay;
+import org.otterpond.config.ConfigException;
+import org.otterpond.config.NodeSettings;
+import org.otterpond.net.EventLoop;
+import org.otterpond.net.PeerTransport;
+import org.otterpond.server.NodeServer;
+import org.otterpond.storage.StorageException;
 
 /**
  * One node alone on the loopback, a worker beside it and a few requests through both. The build
  * runs it to record which classes a node loads; for anybody else it is a check that the program
  * works on this machine.
  */
-public final class Rehearsal {
+public final class SelfTest {
   private static final String HOST = "127.0.0.1";
   private static final int FRONT = freePort();
   private static final int READY = freePort();
@@ -30,7 +30,7 @@
   private static final int WORKER = freePort();
   private static final long PATIENCE_MILLIS = 20_000;
 
-  private Rehearsal() {}
+  private SelfTest() {}
 
   /** Several rehearsals may run on one machine. */
   private static int freePort() {
@@ -46,26 +46,26 @@
       Path folder = Files.createTempDirectory("otterpond-rehearsal");
       Path file = folder.resolve("local.json");
       Files.writeString(file, settings(folder.resolve("data")));
-      Keel keel = new Keel(file, Settings.load(file));
+      NodeServer server = new NodeServer(file, NodeSettings.load(file));
       Thread node =
           new Thread(
               () -> {
                 try {
-                  keel.run();
-                } catch (IOException | LogbookException e) {
+                  server.run();
+                } catch (IOException | StorageException e) {
                   System.err.println("event=rehearsal_node_failed cause=\"" + e + "\"");
                 }
               },
               "rehearsal-node");
       node.setDaemon(true);
       node.start();
-      Quay quay = new Quay();
-      new StandInWorker(quay, "i-rehearsal", Links.address(HOST + ":" + WORKER));
-      Thread worker = new Thread(quay, "rehearsal-worker");
+      EventLoop eventLoop = new EventLoop();
+      new SampleWorkerServer(eventLoop, "i-rehearsal", PeerTransport.address(HOST + ":" + WORKER));
+      Thread worker = new Thread(eventLoop, "rehearsal-worker");
       worker.setDaemon(true);
       worker.start();
       return play() ? 0 : 1;
-    } catch (IOException | ChartException | InterruptedException e) {
+    } catch (IOException | ConfigException | InterruptedException e) {
       System.err.println("event=rehearsal_failed cause=\"" + e + "\"");
       return 1;
     }
--- a/src/test/java/org/otterpond/client/StatusPageTest.java
+++ b/src/test/java/org/otterpond/cli/StatusReportTest.java
@@ -1,4 +1,4 @@
-package org.otterpond.client;
+package org.otterpond.cli;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -10,7 +10,7 @@
 import org.junit.jupiter.api.Test;
 
 /** A large fleet's status stays readable: totals by zone, then only what is not as it should be. */
-class StatusPageTest {
+class StatusReportTest {
   private static JsonObject fleet() {
     JsonObject o = new JsonObject();
     o.addProperty("epoch", 64);
@@ -50,7 +50,7 @@
 
   @Test
   void onlyWhatLagsOrLeavesIsListed() {
-    List<String> lines = StatusPage.of(fleet(), false);
+    List<String> lines = StatusReport.of(fleet(), false);
     String text = String.join("\n", lines);
     assertTrue(lines.size() < 15, text);
     assertTrue(
@@ -65,6 +65,6 @@
 
   @Test
   void everythingIsListedOnRequest() {
-    assertTrue(StatusPage.of(fleet(), true).size() > 500);
+    assertTrue(StatusReport.of(fleet(), true).size() > 500);
   }
 }
--- a/src/test/java/org/otterpond/chart/ConfigurationReaderTest.java
+++ b/src/test/java/org/otterpond/config/ConfigurationParserTest.java
@@ -1,4 +1,4 @@
-package org.otterpond.chart;
+package org.otterpond.config;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
@@ -10,7 +10,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-class ConfigurationReaderTest {
+class ConfigurationParserTest {
   private static final String GOOD =
       "{'revision':3,'extra':{'ignored':[1]},'route_table':[{'name':'a',"
           + "'host_name':'H.example','path_prefix':'/x/','route_type':'idempotent','guard_timer_ms':1000,"
@@ -19,13 +19,13 @@
           + "'path_prefix':'/x/y/','route_type':'keyed','guard_timer_ms':1200,'priority':1,'target_service':'t',"
           + "'max_attempts':2}],'service_table':[{'name':'s'},{'name':'t'}]}";
 
-  private static JsonObject json(String text) throws ChartException {
-    return Fields.parse(text.replace('\'', '"'));
+  private static JsonObject json(String text) throws ConfigException {
+    return JsonFields.parse(text.replace('\'', '"'));
   }
 
   @Test
-  void longestPrefixOfTheHostWins() throws ChartException {
-    Configuration c = ConfigurationReader.read(json(GOOD));
+  void longestPrefixOfTheHostWins() throws ConfigException {
+    GatewayConfiguration c = ConfigurationParser.read(json(GOOD));
     assertEquals("a", c.route("h.example:8080", "/x/z").name());
     assertEquals("b", c.route("H.EXAMPLE", "/x/y/z").name());
     assertNull(c.route("h.example", "/x"));
@@ -50,29 +50,29 @@
         "'max_attempts':2} | 'max_attempts':0} | max_attempts"
       },
       quoteCharacter = '~')
-  void whatIsWrongIsNamed(String from, String to, String field) throws ChartException {
+  void whatIsWrongIsNamed(String from, String to, String field) throws ConfigException {
     String bad = GOOD.replace(from, to.equals("''") ? "" : to);
-    ChartException e =
-        assertThrows(ChartException.class, () -> ConfigurationReader.read(json(bad)));
+    ConfigException e =
+        assertThrows(ConfigException.class, () -> ConfigurationParser.read(json(bad)));
     assertTrue(e.getMessage().contains(field), e.getMessage());
   }
 
   @Test
-  void weightsThatAddUpToNothingAreInvalid() throws ChartException {
+  void weightsThatAddUpToNothingAreInvalid() throws ConfigException {
     String bad = GOOD.replace("'weight':90", "'weight':0").replace("'weight':10", "'weight':0");
-    assertThrows(ChartException.class, () -> ConfigurationReader.read(json(bad)));
+    assertThrows(ConfigException.class, () -> ConfigurationParser.read(json(bad)));
   }
 
   @Test
-  void changeReplacesAddsAndRemovesByName() throws ChartException {
+  void changeReplacesAddsAndRemovesByName() throws ConfigException {
     JsonObject after =
-        ConfigurationReader.modify(
+        ConfigurationParser.modify(
             json(GOOD),
             json(
                 "{'revision':5,'upsert_items':{'route_table':["
                     + "{'name':'c','host_name':'h.example','path_prefix':'/c/','route_type':'idempotent',"
                     + "'guard_timer_ms':10,'target_service':'s'}]},'remove_items':{'route_table':['a']}}"));
-    Configuration c = ConfigurationReader.read(after);
+    GatewayConfiguration c = ConfigurationParser.read(after);
     assertEquals(5, c.revision());
     assertNull(c.route("h.example", "/x/z"));
     assertEquals("c", c.route("h.example", "/c/").name());
@@ -83,7 +83,7 @@
   @Test
   void textThatIsNotOneObjectIsUnreadable() {
     for (String s : new String[] {"", "{", "[]", "{} {}", "{'a':1,}", "nul", "{\"a\":tru"}) {
-      assertThrows(ChartException.class, () -> Fields.parse(s), s);
+      assertThrows(ConfigException.class, () -> JsonFields.parse(s), s);
     }
   }
 }
--- a/src/test/java/org/otterpond/chart/LossSettingsTest.java
+++ b/src/test/java/org/otterpond/config/FaultToleranceSettingsTest.java
@@ -1,4 +1,4 @@
-package org.otterpond.chart;
+package org.otterpond.config;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
@@ -7,10 +7,10 @@
 import org.junit.jupiter.api.Test;
 
 /** What the settings say of the losses to be borne, and of where the zones are. */
-class LossSettingsTest {
-  private static Settings read(String more) throws ChartException {
-    return Settings.read(
-        Fields.parse(
+class FaultToleranceSettingsTest {
+  private static NodeSettings read(String more) throws ConfigException {
+    return NodeSettings.read(
+        JsonFields.parse(
             "{\"node_name\":\"n\",\"ip\":\"10.0.0.1\",\"listen_points\":{},"
                 + "\"internal_port_range\":[1,2],\"seed_peers\":[\"10.0.0.1:9\"]"
                 + more
@@ -18,8 +18,8 @@
   }
 
   @Test
-  void lossesAndRegionsAreRead() throws ChartException {
-    Settings s =
+  void lossesAndRegionsAreRead() throws ConfigException {
+    NodeSettings s =
         read(
             ",\"zone\":\"a\",\"region\":\"r\",\"zones\":{\"a\":\"r\",\"b\":\"s\"},"
                 + "\"fault_tolerance\":{\"machines\":2,\"zones\":1,\"regions\":1}");
@@ -29,6 +29,6 @@
     assertEquals(Map.of("a", "r", "b", "s"), s.regionOf());
     assertEquals(0, read("").regionFaults());
     assertEquals(Map.of(), read("").regionOf());
-    assertThrows(ChartException.class, () -> read(",\"fault_tolerance\":{\"regions\":-1}"));
+    assertThrows(ConfigException.class, () -> read(",\"fault_tolerance\":{\"regions\":-1}"));
   }
 }
--- a/src/test/java/org/otterpond/harbour/NarrowCore.java
+++ b/src/test/java/org/otterpond/control/epoch/BandwidthLimitedCore.java
@@ -1,4 +1,4 @@
-package org.otterpond.harbour;
+package org.otterpond.control.epoch;
 
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
@@ -8,12 +8,17 @@
 import java.util.Random;
 import java.util.function.BiPredicate;
 import java.util.function.Consumer;
-import org.otterpond.signal.Flag;
-import org.otterpond.signal.FlagCodec;
-import org.otterpond.signal.SignalException;
+import org.otterpond.control.state.CoreMember;
+import org.otterpond.control.state.EpochRecord;
+import org.otterpond.control.state.FaultTolerance;
+import org.otterpond.control.state.ReplicatedState;
+import org.otterpond.protocol.ProtocolException;
+import org.otterpond.protocol.WireRecord;
+import org.otterpond.protocol.WireRecordCodec;
+import org.otterpond.runtime.NodeRuntime;
 
 /** Members of a core on simulated time, whose links carry so many bytes a second each. */
-final class NarrowCore {
+final class BandwidthLimitedCore {
   private record Event(long at, long number, Runnable task) implements Comparable<Event> {
     @Override
     public int compareTo(Event o) {
@@ -31,22 +36,23 @@
   private long number;
 
   /** Says which messages are lost: by receiver and message. */
-  BiPredicate<String, Flag> lost = (to, f) -> false;
+  BiPredicate<String, WireRecord> lost = (to, f) -> false;
 
   int pieces;
 
-  NarrowCore(int size, int faults, double megabits) {
+  BandwidthLimitedCore(int size, int faults, double megabits) {
     this.faults = faults;
     megabits(megabits);
-    List<Berth> berths = new ArrayList<>();
+    List<CoreMember> zoneShares = new ArrayList<>();
     for (int i = 1; i <= size; i++) {
-      berths.add(new Berth("disk" + i, "m" + i, "m" + i, "z"));
+      zoneShares.add(new CoreMember("disk" + i, "m" + i, "m" + i, "z"));
     }
-    for (Berth b : berths) {
+    for (CoreMember b : zoneShares) {
       members.put(b.address(), new Member(b));
     }
     EpochRecord first =
-        new EpochRecord("fleet", 1, berths.get(0), berths.subList(1, 1 + faults), berths, size);
+        new EpochRecord(
+            "fleet", 1, zoneShares.get(0), zoneShares.subList(1, 1 + faults), zoneShares, size);
     members
         .values()
         .forEach(
@@ -104,7 +110,7 @@
       Member l = leader();
       for (int i = 0; i < 500 && done < count; i++, done++) {
         l.watch.propose(
-            new Flag("claim")
+            new WireRecord("claim")
                 .with(
                     "key",
                     "acme/"
@@ -119,10 +125,10 @@
     run(500_000);
   }
 
-  final class Member implements Deck, WatchListener {
-    final Berth berth;
+  final class Member implements NodeRuntime, EpochListener {
+    final CoreMember member;
     final List<byte[]> journal = new ArrayList<>();
-    Watch watch;
+    EpochReplica watch;
 
     /** So many writes are refused from now on. */
     int refusals;
@@ -130,20 +136,20 @@
     private int life;
     private long linkFree;
 
-    Member(Berth berth) {
-      this.berth = berth;
+    Member(CoreMember member) {
+      this.member = member;
     }
 
     void start() {
       life++;
       watch =
-          new Watch(
+          new EpochReplica(
               this,
-              WatchTimes.standard(),
+              EpochTimeouts.standard(),
               this,
-              berth,
-              new Hold(60_000_000),
-              LossTolerance.ofMachines(faults));
+              member,
+              new ReplicatedState(60_000_000),
+              FaultTolerance.ofMachines(faults));
       journal.forEach(b -> watch.replay(decoded(b)));
       tick(life);
     }
@@ -174,8 +180,8 @@
     }
 
     @Override
-    public void send(String address, Flag message) {
-      byte[] bytes = FlagCodec.encode(message);
+    public void send(String address, WireRecord message) {
+      byte[] bytes = WireRecordCodec.encode(message);
       pieces += message.kind().equals("snappiece") ? 1 : 0;
       linkFree = Math.max(linkFree, now) + (long) (bytes.length / bytesPerMicro);
       at(
@@ -183,14 +189,14 @@
           () -> {
             Member m = members.get(address);
             if (m.watch != null && !lost.test(address, message)) {
-              m.watch.onMessage(berth.address(), decoded(bytes));
+              m.watch.onMessage(member.address(), decoded(bytes));
             }
           });
     }
 
     @Override
-    public void journal(Flag record, Consumer<Boolean> done) {
-      byte[] bytes = FlagCodec.encode(record);
+    public void journal(WireRecord record, Consumer<Boolean> done) {
+      byte[] bytes = WireRecordCodec.encode(record);
       int of = life;
       boolean refused = refusals-- > 0;
       at(
@@ -224,7 +230,7 @@
 
     @Override
     public void event(String line) {
-      log.add(now / 1000 + " " + berth.name() + " " + line);
+      log.add(now / 1000 + " " + member.name() + " " + line);
     }
 
     @Override
@@ -243,10 +249,10 @@
     }
   }
 
-  private static Flag decoded(byte[] b) {
+  private static WireRecord decoded(byte[] b) {
     try {
-      return FlagCodec.decode(b, 0, b.length);
-    } catch (SignalException e) {
+      return WireRecordCodec.decode(b, 0, b.length);
+    } catch (ProtocolException e) {
       throw new IllegalStateException(e);
     }
   }
--- a/src/test/java/org/otterpond/harbour/RefusedWriteTest.java
+++ b/src/test/java/org/otterpond/control/epoch/RefusedDiskWriteTest.java
@@ -1,16 +1,17 @@
-package org.otterpond.harbour;
+package org.otterpond.control.epoch;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import org.junit.jupiter.api.Test;
-import org.otterpond.signal.Flag;
+import org.otterpond.control.state.EpochRecord;
+import org.otterpond.protocol.WireRecord;
 
 /** A record whose write was refused is vouched for by no later write that went well. */
-class RefusedWriteTest {
+class RefusedDiskWriteTest {
   @Test
   void acceptThatWasRefusedIsNotAnsweredWhenAskedAgainBeforeTheDiskHoldsIt() {
-    NarrowCore c = new NarrowCore(3, 1, 1000);
-    NarrowCore.Member m = c.members.get("m3");
+    BandwidthLimitedCore c = new BandwidthLimitedCore(3, 1, 1000);
+    BandwidthLimitedCore.Member m = c.members.get("m3");
     EpochRecord r = c.leader().watch.record();
     EpochRecord next =
         new EpochRecord(r.fleet(), r.epoch() + 500, r.primary(), r.backups(), r.members(), 3);
@@ -20,8 +21,11 @@
           answers[0] += f.kind().equals("accd") ? 1 : 0;
           return true;
         };
-    Flag accept =
-        new Flag("acc").with("record", next.toFlag()).with("to", "disk3").with("from", "m1");
+    WireRecord accept =
+        new WireRecord("acc")
+            .with("record", next.toWireRecord())
+            .with("to", "disk3")
+            .with("from", "m1");
     m.refusals = 1;
     m.watch.onMessage("m1", accept);
     c.run(10_000);
--- a/src/test/java/org/otterpond/harbour/SnapshotCopyTest.java
+++ b/src/test/java/org/otterpond/control/epoch/SnapshotTransferTest.java
@@ -1,4 +1,4 @@
-package org.otterpond.harbour;
+package org.otterpond.control.epoch;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -8,26 +8,27 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import org.otterpond.signal.Flag;
+import org.otterpond.control.state.CoreMember;
+import org.otterpond.protocol.WireRecord;
 
 /**
  * A large state reaches the backups of a new epoch, whole or not at all, however narrow the link
  * is.
  */
-class SnapshotCopyTest {
+class SnapshotTransferTest {
   private static final long S = 1_000_000;
 
-  private static String tail(NarrowCore c) {
+  private static String tail(BandwidthLimitedCore c) {
     return String.join("\n", c.log.subList(Math.max(0, c.log.size() - 30), c.log.size()));
   }
 
   @ParameterizedTest
   @CsvSource({"100, 100000, 1", "100, 100000, 2", "10, 20000, 1", "2, 10000, 2", "1000, 100000, 2"})
   void epochBeginsHoweverLongTheCopyTakes(double megabits, int claims, int faults) {
-    NarrowCore c = new NarrowCore(2 * faults + 1, faults, 1000);
+    BandwidthLimitedCore c = new BandwidthLimitedCore(2 * faults + 1, faults, 1000);
     c.claims(claims);
     c.megabits(megabits);
-    NarrowCore.Member former = c.leader();
+    BandwidthLimitedCore.Member former = c.leader();
     long epoch = former.watch.record().epoch();
     former.kill();
     long took = c.untilEpochAfter(epoch, 29 * S);
@@ -43,7 +44,7 @@
             + " pieces="
             + c.pieces);
     assertTrue(took > 0, () -> tail(c));
-    for (Berth b : c.leader().watch.record().backups()) {
+    for (CoreMember b : c.leader().watch.record().backups()) {
       assertEquals(claims, c.members.get(b.address()).claims());
     }
   }
@@ -54,13 +55,13 @@
    */
   @Test
   void memberWithHalfASnapshotKeepsWhatItHeldAndNeverLeads() {
-    NarrowCore c = new NarrowCore(3, 1, 1000);
+    BandwidthLimitedCore c = new BandwidthLimitedCore(3, 1, 1000);
     c.claims(20_000);
     c.megabits(5);
-    NarrowCore.Member primary = c.leader();
-    NarrowCore.Member other = c.members.get("m3");
+    BandwidthLimitedCore.Member primary = c.leader();
+    BandwidthLimitedCore.Member other = c.members.get("m3");
     assertEquals(
-        List.of("m2"), primary.watch.record().backups().stream().map(Berth::address).toList());
+        List.of("m2"), primary.watch.record().backups().stream().map(CoreMember::address).toList());
     long epoch = primary.watch.record().epoch();
     c.members.get("m2").kill();
     c.run(1_200 * 1000);
@@ -73,13 +74,13 @@
     assertEquals(0, other.claims());
     c.members.get("m2").start();
     assertTrue(c.untilEpochAfter(epoch, 20 * S) > 0, () -> tail(c));
-    assertEquals("m2", c.leader().berth.address());
+    assertEquals("m2", c.leader().member.address());
     assertEquals(20_000, c.members.get("m3").claims());
   }
 
   @Test
   void missingPieceIsSentAgainAndNothingAfterItIsTaken() {
-    NarrowCore c = new NarrowCore(3, 1, 100);
+    BandwidthLimitedCore c = new BandwidthLimitedCore(3, 1, 100);
     c.claims(20_000);
     long epoch = c.leader().watch.record().epoch();
     int[] drops = {3};
@@ -92,7 +93,7 @@
   /** The word that the state is held is lost: it is said again, and the state is taken once. */
   @Test
   void lostWordOfAnInstalledSnapshotIsSaidAgain() {
-    NarrowCore c = new NarrowCore(3, 1, 100);
+    BandwidthLimitedCore c = new BandwidthLimitedCore(3, 1, 100);
     c.claims(2_000);
     long epoch = c.leader().watch.record().epoch();
     int[] drops = {1};
@@ -110,7 +111,7 @@
 
   @Test
   void piecesOfTwoSnapshotsAreNeverPutTogether() {
-    Flag state = new Flag("state").with("text", "x".repeat(10));
+    WireRecord state = new WireRecord("state").with("text", "x".repeat(10));
     SnapshotSender a = new SnapshotSender(1, state);
     SnapshotReceiver r = new SnapshotReceiver(1);
     assertEquals(1, r.take(a.due("d", 0).get(0)));
@@ -128,27 +129,27 @@
    */
   @Test
   void snapshotHasItsTail() {
-    NarrowCore c = new NarrowCore(3, 1, 1000);
+    BandwidthLimitedCore c = new BandwidthLimitedCore(3, 1, 1000);
     c.claims(100);
-    NarrowCore.Member primary = c.leader();
+    BandwidthLimitedCore.Member primary = c.leader();
     long epoch = primary.watch.record().epoch();
     c.members.get("m2").kill();
     int[] committed = {0};
     for (int i = 0; i < 7; i++) {
       // The first goes to the lost backup in vain, the others wait for it in the open batch.
       primary.watch.propose(
-          new Flag("claim").with("key", "tail" + i).with("token", "t").with("holder", "m1"),
+          new WireRecord("claim").with("key", "tail" + i).with("token", "t").with("holder", "m1"),
           () -> committed[0]++);
       c.run(10_000);
     }
     assertTrue(c.untilEpochAfter(epoch, 3 * S) > 0, () -> tail(c));
     assertEquals(7, committed[0]);
-    assertEquals("m1", c.leader().berth.address());
+    assertEquals("m1", c.leader().member.address());
     long second = c.leader().watch.record().epoch();
     primary.kill();
     c.members.get("m2").start();
     assertTrue(c.untilEpochAfter(second, 5 * S) > 0, () -> tail(c));
-    assertEquals("m3", c.leader().berth.address());
+    assertEquals("m3", c.leader().member.address());
     assertEquals(107, c.leader().claims());
   }
 }
--- a/src/test/java/org/otterpond/harbour/HundredsOfChangesTest.java
+++ b/src/test/java/org/otterpond/control/primary/ManyConfigurationChangesTest.java
@@ -1,4 +1,4 @@
-package org.otterpond.harbour;
+package org.otterpond.control.primary;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -10,12 +10,14 @@
 import org.junit.jupiter.api.io.TempDir;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import org.otterpond.logbook.Logbook;
-import org.otterpond.signal.Flag;
-import org.otterpond.signal.FlagCodec;
+import org.otterpond.control.state.CompressedText;
+import org.otterpond.control.state.ReplicatedState;
+import org.otterpond.protocol.WireRecord;
+import org.otterpond.protocol.WireRecordCodec;
+import org.otterpond.storage.WriteAheadLog;
 
 /** What a day with hundreds of changes leaves on a small disk. */
-class HundredsOfChangesTest {
+class ManyConfigurationChangesTest {
   private static final long DISK = 64L << 20;
 
   @TempDir private Path folder;
@@ -46,12 +48,12 @@
     return s.append("]}").toString();
   }
 
-  private static Hold held(int claims) {
-    Hold h = new Hold(60_000_000);
+  private static ReplicatedState held(int claims) {
+    ReplicatedState h = new ReplicatedState(60_000_000);
     Random r = new Random(claims);
     for (int i = 0; i < claims; i++) {
       h.apply(
-          new Flag("claim")
+          new WireRecord("claim")
               .with(
                   "key", "acme/" + Long.toHexString(r.nextLong()) + Long.toHexString(r.nextLong()))
               .with("token", Long.toHexString(r.nextLong()))
@@ -66,31 +68,31 @@
   @CsvSource({"50, 1000, 600", "1480, 100000, 600", "21000, 100000, 150"})
   void journalStaysSmallThroughHundredsOfChanges(int routes, int claims, int changes)
       throws Exception {
-    Hold hold = held(claims);
-    Logbook log = new Logbook(folder);
+    ReplicatedState hold = held(claims);
+    WriteAheadLog log = new WriteAheadLog(folder);
     log.open();
     log.rotate("disk-1", List.of());
-    long at = Logbook.rotateAt(log.size(), DISK);
+    long at = WriteAheadLog.rotateAt(log.size(), DISK);
     long peak = 0;
     int rotations = 0;
     long text = 0;
     long entry = 0;
     for (long rev = 1; rev <= changes; rev++) {
       String full = configuration(routes, rev);
-      Flag change =
-          PackedText.put(PackedText.of(full), new Flag("config").with("rev", rev))
+      WireRecord change =
+          CompressedText.put(CompressedText.of(full), new WireRecord("config").with("rev", rev))
               .with("digest", String.format("%064x", rev));
       text = full.length();
-      entry = FlagCodec.encode(change).length;
+      entry = WireRecordCodec.encode(change).length;
       hold.apply(change, 0);
       if (log.size() > at) {
         long before = log.size();
         log.rotate("disk-1", List.of(hold.snapshot()));
         peak = Math.max(peak, before + log.size());
-        at = Logbook.rotateAt(log.size(), DISK);
+        at = WriteAheadLog.rotateAt(log.size(), DISK);
         rotations++;
       } else {
-        log.append(List.of(Logbook.frame(change)));
+        log.append(List.of(WriteAheadLog.frame(change)));
         peak = Math.max(peak, log.size());
       }
     }
@@ -110,13 +112,13 @@
             + " peak="
             + peak
             + " state_plain="
-            + FlagCodec.encode(hold.snapshot()).length
+            + WireRecordCodec.encode(hold.snapshot()).length
             + " state="
-            + Logbook.frame(hold.snapshot()).length);
+            + WriteAheadLog.frame(hold.snapshot()).length);
     assertTrue(peak < DISK / 2, "peak of " + peak);
-    Logbook again = new Logbook(folder);
+    WriteAheadLog again = new WriteAheadLog(folder);
     again.open();
-    Hold read = new Hold(60_000_000);
+    ReplicatedState read = new ReplicatedState(60_000_000);
     List<String> seen = new ArrayList<>();
     again.replay(
         f -> {
@@ -135,7 +137,7 @@
   @ParameterizedTest
   @CsvSource({"0", "1000000", "8000000", "15000000", "25000000"})
   void fileThatIsDueLeavesRoomForTheNext(long begun) {
-    assertTrue(Logbook.rotateAt(begun, DISK) + begun <= DISK * 9 / 10);
-    assertTrue(Logbook.rotateAt(begun, DISK) > begun);
+    assertTrue(WriteAheadLog.rotateAt(begun, DISK) + begun <= DISK * 9 / 10);
+    assertTrue(WriteAheadLog.rotateAt(begun, DISK) > begun);
   }
 }
--- a/src/test/java/org/otterpond/harbour/ChandleryTest.java
+++ b/src/test/java/org/otterpond/control/primary/QuotaOwnerTest.java
@@ -1,4 +1,4 @@
-package org.otterpond.harbour;
+package org.otterpond.control.primary;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -8,13 +8,13 @@
 import java.util.List;
 import java.util.Random;
 import org.junit.jupiter.api.Test;
-import org.otterpond.chart.ChartException;
-import org.otterpond.chart.ConfigurationReader;
-import org.otterpond.chart.Fields;
+import org.otterpond.config.ConfigException;
+import org.otterpond.config.ConfigurationParser;
+import org.otterpond.config.JsonFields;
 
 /** The owner's accounts against nodes that lose answers, hoard, expire and give back. */
-class ChandleryTest {
-  private static final QuotaTerms TERMS = new QuotaTerms(5_000_000, 0.1, 20, 2_000_000);
+class QuotaOwnerTest {
+  private static final QuotaSettings TERMS = new QuotaSettings(5_000_000, 0.1, 20, 2_000_000);
   private static final double RATE = 40;
   private static final double BURST = 30;
 
@@ -56,11 +56,11 @@
     }
   }
 
-  private static Chandlery owner(long now) throws ChartException {
-    Chandlery c = new Chandlery(TERMS);
+  private static QuotaOwner owner(long now) throws ConfigException {
+    QuotaOwner c = new QuotaOwner(TERMS);
     c.configured(
-        ConfigurationReader.read(
-            Fields.parse(
+        ConfigurationParser.read(
+            JsonFields.parse(
                 "{\"revision\":1,\"route_table\":[],\"service_table\":[],"
                     + "\"subscribers\":[{\"name\":\"t\",\"access_keys\":[\"k\"],\"rate_per_s\":"
                     + RATE
@@ -72,10 +72,10 @@
   }
 
   @Test
-  void whatIsOutNeverExceedsTheOwnersPartAndWindowsHold() throws ChartException {
+  void whatIsOutNeverExceedsTheOwnersPartAndWindowsHold() throws ConfigException {
     for (long seed = 1; seed <= 20; seed++) {
       Random random = new Random(seed);
-      Chandlery owner = owner(0);
+      QuotaOwner owner = owner(0);
       List<Hoarder> nodes = new ArrayList<>();
       for (int i = 0; i < 8; i++) {
         nodes.add(new Hoarder(i));
@@ -86,7 +86,7 @@
       for (long now = 0; now < 30_000_000; now += 1_000 + random.nextInt(4_000)) {
         Hoarder n = nodes.get(random.nextInt(nodes.size()));
         n.prune(now);
-        Chandlery.Lent lent =
+        QuotaOwner.Lent lent =
             owner.lend(
                 "t", n.life, n.used, n.returned, 1 + random.nextInt(3), random.nextInt(3), now);
         // One answer in ten is lost, and a node may be slow to take one in: it counts from when it
@@ -123,8 +123,8 @@
   }
 
   @Test
-  void lateOrRepeatedReportsChangeNothing() throws ChartException {
-    Chandlery owner = owner(0);
+  void lateOrRepeatedReportsChangeNothing() throws ConfigException {
+    QuotaOwner owner = owner(0);
     long now = 10_000_000;
     assertEquals(4, owner.lend("t", 1, 0, 0, 4, 0, now).count());
     owner.lend("t", 1, 3, 2, 0, 0, now);
@@ -137,8 +137,8 @@
   }
 
   @Test
-  void newOwnerAndNewTenantBeginEmpty() throws ChartException {
-    Chandlery owner = owner(5_000_000);
+  void newOwnerAndNewTenantBeginEmpty() throws ConfigException {
+    QuotaOwner owner = owner(5_000_000);
     assertTrue(owner.lend("t", 1, 0, 0, 1, 0, 5_000_000).over());
     assertEquals(2, owner.lend("t", 1, 0, 0, 9, 0, 5_050_000).count());
   }
--- a/src/test/java/org/otterpond/harbour/TakenChangesTest.java
+++ b/src/test/java/org/otterpond/control/state/AppliedChangesTest.java
@@ -1,4 +1,4 @@
-package org.otterpond.harbour;
+package org.otterpond.control.state;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -8,25 +8,25 @@
 import java.nio.charset.StandardCharsets;
 import org.junit.jupiter.api.Test;
 
-class TakenChangesTest {
+class AppliedChangesTest {
   private static String digest(long n) {
     return Hashing.sha256().hashString("change " + n, StandardCharsets.UTF_8).toString();
   }
 
   @Test
   void newestAreKnownUpToTheBoundAndSurviveASnapshot() {
-    TakenChanges t = new TakenChanges();
-    int all = TakenChanges.MOST + 10;
+    AppliedChanges t = new AppliedChanges();
+    int all = AppliedChanges.MOST + 10;
     for (long n = 1; n <= all; n++) {
       t.add(2 * n, digest(n));
     }
     byte[] packed = t.pack();
-    assertEquals(24 * TakenChanges.MOST, packed.length);
-    TakenChanges copy = new TakenChanges();
+    assertEquals(24 * AppliedChanges.MOST, packed.length);
+    AppliedChanges copy = new AppliedChanges();
     copy.add(7, digest(7));
     copy.load(packed);
-    for (TakenChanges c : new TakenChanges[] {t, copy}) {
-      assertEquals(TakenChanges.MOST, c.size());
+    for (AppliedChanges c : new AppliedChanges[] {t, copy}) {
+      assertEquals(AppliedChanges.MOST, c.size());
       assertFalse(c.holds(20, digest(10)), "beyond the bound");
       assertTrue(c.holds(22, digest(11)));
       assertTrue(c.holds(2L * all, digest(all)));
--- a/src/test/java/org/otterpond/quay/MissiveCutsTest.java
+++ b/src/test/java/org/otterpond/net/HttpMessageFragmentsTest.java
@@ -1,4 +1,4 @@
-package org.otterpond.quay;
+package org.otterpond.net;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
@@ -9,22 +9,22 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** Messages that are cut, or that arrive in two pieces, at every byte. */
-class MissiveCutsTest {
+class HttpMessageFragmentsTest {
   private static final String CHUNKED =
       "Transfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n10;x=1\r\n0123456789abcdef\r\n"
           + "0\r\nX-After: 1\r\n\r\n";
   private static final String SIZED = "Content-Length: 9\r\n\r\nhe\r\n\r\nllo";
 
-  private final InBuffer in = new InBuffer();
+  private final ReceiveBuffer in = new ReceiveBuffer();
 
   private void put(String bytes) {
     in.put(ByteBuffer.wrap(bytes.getBytes(StandardCharsets.ISO_8859_1)));
   }
 
-  private static Missive read(MissiveReader r, boolean end) {
+  private static HttpMessage read(HttpMessageParser r, boolean end) {
     try {
       return r.next(end);
-    } catch (BadBytesException e) {
+    } catch (MalformedMessageException e) {
       return null;
     }
   }
@@ -43,22 +43,22 @@
   void isWholeWithItsLastByteAndNotBefore(String whole) throws Exception {
     boolean request = whole.startsWith("POST");
     put(whole);
-    String body = text(new MissiveReader(in, request).next(false));
+    String body = text(new HttpMessageParser(in, request).next(false));
     assertEquals(0, in.length());
     for (int cut = 1; cut < whole.length(); cut++) {
-      MissiveReader r = new MissiveReader(in, request);
+      HttpMessageParser r = new HttpMessageParser(in, request);
       put(whole.substring(0, cut));
       assertNull(read(r, false), "whole after " + cut);
       put(whole.substring(cut));
       assertEquals(body, text(r.next(false)), "in two pieces, at " + cut);
       assertEquals(0, in.length());
       put(whole.substring(0, cut));
-      assertNull(read(new MissiveReader(in, request), true), "ended after " + cut);
+      assertNull(read(new HttpMessageParser(in, request), true), "ended after " + cut);
       in.take(whole.length());
     }
   }
 
-  private static String text(Missive m) {
+  private static String text(HttpMessage m) {
     return m.status() + " " + new String(m.body(), StandardCharsets.ISO_8859_1);
   }
 
@@ -68,7 +68,7 @@
   @ParameterizedTest
   @ValueSource(strings = {SIZED, CHUNKED})
   void answerToHeadEndsWithItsHead(String rest) throws Exception {
-    MissiveReader r = new MissiveReader(in, false);
+    HttpMessageParser r = new HttpMessageParser(in, false);
     r.expect(true);
     put("HTTP/1.1 200 OK\r\n" + rest);
     assertEquals("200 ", text(r.next(false)));
--- a/src/test/java/org/otterpond/quay/LinksTest.java
+++ b/src/test/java/org/otterpond/net/PeerTransportTest.java
@@ -1,4 +1,4 @@
-package org.otterpond.quay;
+package org.otterpond.net;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
@@ -8,10 +8,10 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
-import org.otterpond.signal.Flag;
+import org.otterpond.protocol.WireRecord;
 
 /** What a node learns of messages that did not go out. */
-class LinksTest {
+class PeerTransportTest {
   private static String freePoint() throws Exception {
     try (ServerSocket s = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"))) {
       return "127.0.0.1:" + s.getLocalPort();
@@ -24,24 +24,24 @@
    */
   @Test
   void everyMessageThatMeetsNoListenerIsToldAsLost() throws Exception {
-    Quay quay = new Quay();
+    EventLoop eventLoop = new EventLoop();
     LinkedBlockingQueue<String> lost = new LinkedBlockingQueue<>();
-    Links links =
-        new Links(
-            quay,
+    PeerTransport links =
+        new PeerTransport(
+            eventLoop,
             freePoint(),
             (from, f) -> {},
             (peer, never, connection) -> lost.add(peer + never));
     String nobody = freePoint();
-    Thread t = new Thread(quay, "owner");
+    Thread t = new Thread(eventLoop, "owner");
     t.setDaemon(true);
     t.start();
     for (int i = 0; i < 3; i++) {
-      quay.execute(() -> links.send(nobody, new Flag("poll")));
+      eventLoop.execute(() -> links.send(nobody, new WireRecord("poll")));
       String told = lost.poll(5, TimeUnit.SECONDS);
       assertNotNull(told, "message " + i + " is not told as lost");
       assertEquals(nobody + "true", told);
     }
-    quay.stop();
+    eventLoop.stop();
   }
 }
--- a/src/test/java/org/otterpond/quay/SlowLinkTest.java
+++ b/src/test/java/org/otterpond/net/SlowPeerConnectionTest.java
@@ -1,4 +1,4 @@
-package org.otterpond.quay;
+package org.otterpond.net;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
@@ -13,13 +13,13 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.locks.LockSupport;
 import org.junit.jupiter.api.Test;
-import org.otterpond.signal.Flag;
+import org.otterpond.protocol.WireRecord;
 
 /**
  * A frame that takes longer on its way than a silent peer is given arrives all the same. Waits on
  * real sockets.
  */
-class SlowLinkTest {
+class SlowPeerConnectionTest {
   /** More than the kernel takes off the sender's hands. */
   private static final int FRAME = 9_000_000;
 
@@ -32,8 +32,8 @@
     }
   }
 
-  private static Quay owner() throws IOException {
-    Quay q = new Quay();
+  private static EventLoop owner() throws IOException {
+    EventLoop q = new EventLoop();
     thread(q);
     return q;
   }
@@ -48,12 +48,12 @@
   private static String narrow(String target) throws IOException {
     ServerSocket server = new ServerSocket();
     server.setReceiveBufferSize(BYTES_PER_TURN);
-    server.bind(Links.address(freePoint()));
+    server.bind(PeerTransport.address(freePoint()));
     thread(
         () -> {
           try (Socket in = server.accept();
               Socket out = new Socket()) {
-            out.connect(Links.address(target));
+            out.connect(PeerTransport.address(target));
             thread(() -> copy(out, in, 0));
             copy(in, out, TURN_NANOS);
           } catch (IOException e) {
@@ -80,14 +80,16 @@
 
   @Test
   void longFrameOnANarrowWayArrives() throws Exception {
-    Quay a = owner();
-    Quay b = owner();
+    EventLoop a = owner();
+    EventLoop b = owner();
     LinkedBlockingQueue<Integer> arrived = new LinkedBlockingQueue<>();
     String to = freePoint();
-    Links sender = new Links(a, freePoint(), (from, f) -> {}, (peer, never, n) -> {});
-    new Links(b, to, (from, f) -> arrived.add(f.bytes("text").length), (peer, never, n) -> {});
+    PeerTransport sender =
+        new PeerTransport(a, freePoint(), (from, f) -> {}, (peer, never, n) -> {});
+    new PeerTransport(
+        b, to, (from, f) -> arrived.add(f.bytes("text").length), (peer, never, n) -> {});
     String way = narrow(to);
-    a.execute(() -> sender.send(way, new Flag("news").with("text", new byte[FRAME])));
+    a.execute(() -> sender.send(way, new WireRecord("news").with("text", new byte[FRAME])));
     Integer got = arrived.poll(20, TimeUnit.SECONDS);
     a.stop();
     b.stop();
--- a/src/test/java/org/otterpond/quay/TenderStatesTest.java
+++ b/src/test/java/org/otterpond/net/WorkerConnectionStatesTest.java
@@ -1,4 +1,4 @@
-package org.otterpond.quay;
+package org.otterpond.net;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -31,7 +31,7 @@
  * What a request to a worker proves when it fails, in each state of its connection, over real
  * sockets.
  */
-class TenderStatesTest {
+class WorkerConnectionStatesTest {
   private static final String ID = "X-Id";
   private static final String SENT = "failed, may have arrived";
   private static final String UNSENT = "failed, not sent";
@@ -43,17 +43,17 @@
   private static final long SHORT = 300_000;
 
   private final LinkedBlockingQueue<String> told = new LinkedBlockingQueue<>();
-  private Quay quay;
+  private EventLoop eventLoop;
   private Thread owner;
   private ServerSocket worker;
-  private TenderPool pool;
+  private WorkerConnectionPool pool;
 
   private long connectMicros = 5_000_000;
 
   @BeforeEach
   void start() throws IOException {
-    quay = new Quay();
-    owner = new Thread(quay, "owner");
+    eventLoop = new EventLoop();
+    owner = new Thread(eventLoop, "owner");
     owner.setDaemon(true);
     owner.start();
     listen(50);
@@ -61,7 +61,7 @@
 
   @AfterEach
   void stop() throws IOException {
-    quay.stop();
+    eventLoop.stop();
     worker.close();
   }
 
@@ -69,8 +69,8 @@
     worker = new ServerSocket(0, backlog, InetAddress.getByName("127.0.0.1"));
     worker.setSoTimeout(5_000);
     pool =
-        new TenderPool(
-            quay, new InetSocketAddress("127.0.0.1", worker.getLocalPort()), 1 << 20, ID);
+        new WorkerConnectionPool(
+            eventLoop, new InetSocketAddress("127.0.0.1", worker.getLocalPort()), 1 << 20, ID);
   }
 
   private <T> T onOwner(java.util.concurrent.Callable<T> task) throws Exception {
@@ -86,23 +86,26 @@
     if (Thread.currentThread() == owner) {
       run.run();
     } else {
-      quay.execute(run);
+      eventLoop.execute(run);
     }
     return done.get(5, TimeUnit.SECONDS);
   }
 
-  private Tender send(String id, int bodyBytes) throws Exception {
-    Missive m =
-        Missive.request("POST", "/x").header("Host", "h").header(ID, id).body(new byte[bodyBytes]);
+  private WorkerConnection send(String id, int bodyBytes) throws Exception {
+    HttpMessage m =
+        HttpMessage.request("POST", "/x")
+            .header("Host", "h")
+            .header(ID, id)
+            .body(new byte[bodyBytes]);
     return onOwner(
         () ->
             pool.send(
                 m,
                 connectMicros,
                 Long.MAX_VALUE,
-                new Reception() {
+                new ResponseListener() {
                   @Override
-                  public void answered(Missive r) {
+                  public void answered(HttpMessage r) {
                     told.add(r.status() + " " + new String(r.body(), StandardCharsets.ISO_8859_1));
                   }
 
@@ -183,7 +186,7 @@
     for (int i = 0; i < 2; i++) {
       filling.add(new Socket("127.0.0.1", worker.getLocalPort()));
     }
-    Tender given = send("a", 10);
+    WorkerConnection given = send("a", 10);
     assertFalse(onOwner(given::abandon), "given up while it connects");
     assertNull(told.poll(), "whoever gives up is told nothing more");
     send("b", 10);
@@ -203,9 +206,9 @@
     CompletableFuture<Boolean> sent = new CompletableFuture<>();
     // Last in the owner's turn, so that it meets the connection before the timers, as a process
     // that wakes does.
-    quay.execute(
+    eventLoop.execute(
         () ->
-            quay.after(
+            eventLoop.after(
                 0,
                 () -> {
                   try {
@@ -227,7 +230,7 @@
   @ParameterizedTest
   @ValueSource(booleans = {true, false})
   void partWrittenMayHaveArrived(boolean byReset) throws Exception {
-    Tender t = send("a", 20 << 20);
+    WorkerConnection t = send("a", 20 << 20);
     Socket s = accept();
     s.getInputStream().read();
     if (byReset) {
@@ -246,7 +249,7 @@
   @ParameterizedTest
   @CsvSource({"close", "reset", "silence"})
   void wholeWrittenMayHaveArrived(String end) throws Exception {
-    Tender t = send("a", 10);
+    WorkerConnection t = send("a", 10);
     Socket s = accept();
     readRequest(s);
     switch (end) {
@@ -303,7 +306,7 @@
   /** The look at a kept connection says nothing of a reset that is still under way. */
   @Test
   void keptConnectionResetUnderTheNextRequestProvesNothing() throws Exception {
-    Tender first = send("a", 10);
+    WorkerConnection first = send("a", 10);
     Socket s = accept();
     readRequest(s);
     s.getInputStream().skipNBytes(10);
@@ -321,7 +324,7 @@
    */
   @Test
   void secondAnswerToTheSameIdIsNotTakenForTheNextRun() throws Exception {
-    Tender first = send("a", 10);
+    WorkerConnection first = send("a", 10);
     Socket s = accept();
     readRequest(s);
     s.getInputStream().skipNBytes(10);
--- a/src/test/java/org/otterpond/lookout/LookoutTest.java
+++ b/src/test/java/org/otterpond/outlier/SlowWorkerDetectorTest.java
@@ -1,4 +1,4 @@
-package org.otterpond.lookout;
+package org.otterpond.outlier;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
@@ -14,7 +14,7 @@
  * The detector in the paper's setting: K = 10 servers, join the shortest queue, load 0.95,
  * exponential work.
  */
-class LookoutTest {
+class SlowWorkerDetectorTest {
   private static final int K = 10;
   private static final double LOAD = 0.95;
   private static final double INTERVAL = 2.0;
@@ -31,7 +31,7 @@
     int[] queue = new int[K];
     double[] leaves = new double[K];
     java.util.Arrays.fill(leaves, Double.MAX_VALUE);
-    Lookout lookout = new Lookout(WINDOW, 0.7, 20);
+    SlowWorkerDetector detector = new SlowWorkerDetector(WINDOW, 0.7, 20);
     double now = 0;
     double arrival = exp(r, lambda);
     double sample = 200;
@@ -48,7 +48,7 @@
         for (int i = 0; i < K; i++) {
           q.put("w" + i, (double) queue[i]);
         }
-        lookout.sample(q);
+        detector.sample(q);
         taken++;
         sample += INTERVAL;
       } else if (at == arrival) {
@@ -61,7 +61,7 @@
         leaves[next] = --queue[next] == 0 ? Double.MAX_VALUE : now + exp(r, next == 0 ? alpha : 1);
       }
     }
-    return String.join(",", lookout.verdict().slow());
+    return String.join(",", detector.verdict().slow());
   }
 
   private static double exp(Random r, double rate) {
@@ -107,14 +107,14 @@
 
   @Test
   void marginIsThePapersDefault() {
-    assertEquals((1 - 1.1 * 0.7) / 2, Lookout.gammaFor(0.7), 1e-12);
-    assertThrows(IllegalArgumentException.class, () -> new Lookout(10, 0.95, 1));
+    assertEquals((1 - 1.1 * 0.7) / 2, SlowWorkerDetector.gammaFor(0.7), 1e-12);
+    assertThrows(IllegalArgumentException.class, () -> new SlowWorkerDetector(10, 0.95, 1));
   }
 
   @Test
   void fewerThanThreeWorkersOrARestingBalancerAreInconclusive() {
-    Lookout two = new Lookout(10, 0.7, 1);
-    Lookout rest = new Lookout(10, 0.7, 1);
+    SlowWorkerDetector two = new SlowWorkerDetector(10, 0.7, 1);
+    SlowWorkerDetector rest = new SlowWorkerDetector(10, 0.7, 1);
     for (int i = 0; i < 100; i++) {
       two.sample(Map.of("a", 5.0, "b", 0.0));
       rest.sample(Map.of("a", 0.0, "b", 0.0, "c", 0.0));
@@ -125,7 +125,7 @@
 
   @Test
   void aChangeAmongTheWorkersBeginsTheWindowAnew() {
-    Lookout l = new Lookout(10, 0.7, 1);
+    SlowWorkerDetector l = new SlowWorkerDetector(10, 0.7, 1);
     for (int i = 0; i < 20; i++) {
       l.sample(Map.of("a", 2.0, "b", 0.0, "c", 0.0));
     }
@@ -141,9 +141,10 @@
    *
    * @param told how many samples the detector is told say about the same
    */
-  private static Lookout seen(double[] busy, int window, int each, double told, long seed) {
+  private static SlowWorkerDetector seen(
+      double[] busy, int window, int each, double told, long seed) {
     Random r = new Random(seed);
-    Lookout l = new Lookout(window, 0.7, 1);
+    SlowWorkerDetector l = new SlowWorkerDetector(window, 0.7, 1);
     while (l.verdict().samples() < window) {
       Map<String, Double> q = new HashMap<>();
       for (int i = 0; i < busy.length; i++) {
--- a/src/test/java/org/otterpond/cargo/RetryPurseTest.java
+++ b/src/test/java/org/otterpond/proxy/RetryBudgetTest.java
@@ -1,4 +1,4 @@
-package org.otterpond.cargo;
+package org.otterpond.proxy;
 
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -9,14 +9,14 @@
 import org.junit.jupiter.api.Test;
 
 /** The bound on second attempts, over any sliding window and the sum of the members. */
-class RetryPurseTest {
+class RetryBudgetTest {
   private static final double RATIO = 0.2;
   private static final long WINDOW = 10_000_000;
 
-  private static RetryPurse[] purses(int nodes) {
-    RetryPurse[] out = new RetryPurse[nodes];
+  private static RetryBudget[] purses(int nodes) {
+    RetryBudget[] out = new RetryBudget[nodes];
     for (int i = 0; i < nodes; i++) {
-      out[i] = new RetryPurse(WINDOW);
+      out[i] = new RetryBudget(WINDOW);
     }
     return out;
   }
@@ -27,7 +27,7 @@
       long seed = 7 + nodes;
       System.out.println("purse seed=" + seed);
       Random r = new Random(seed);
-      RetryPurse[] purses = purses(nodes);
+      RetryBudget[] purses = purses(nodes);
       List<int[]> history = new ArrayList<>();
       int spent = 0;
       for (int ms = 0; ms < 120_000; ms++) {
@@ -38,13 +38,13 @@
         for (int a = 0; a < arrivals; a++) {
           purses[r.nextInt(nodes)].earn(RATIO * 0.45, ms * 1000L);
         }
-        for (RetryPurse p : purses) {
+        for (RetryBudget p : purses) {
           while (ms % 5_000 < 2_000 && p.spend(ms * 1000L)) {
             tried++;
           }
         }
         if (r.nextInt(3_000) == 0) {
-          purses[r.nextInt(nodes)] = new RetryPurse(WINDOW);
+          purses[r.nextInt(nodes)] = new RetryBudget(WINDOW);
         }
         history.add(new int[] {arrivals, tried});
         spent += tried;
@@ -83,7 +83,7 @@
 
   @Test
   void nodeWithFewRequestsSavesUpForATryHoweverManyOthersThereAre() {
-    RetryPurse p = new RetryPurse(WINDOW);
+    RetryBudget p = new RetryBudget(WINDOW);
     for (int i = 0; i < 12; i++) {
       assertFalse(p.spend(i * 500_000L));
       p.earn(RATIO * 0.45, i * 500_000L);
@@ -94,7 +94,7 @@
 
   @Test
   void whatWasEarnedExpiresWithTheWindow() {
-    RetryPurse p = new RetryPurse(WINDOW);
+    RetryBudget p = new RetryBudget(WINDOW);
     assertFalse(p.spend(0));
     p.earn(1.5, 1_000_000);
     assertFalse(p.spend(1_000_000 + WINDOW));
--- a/src/test/java/org/otterpond/cargo/WorkerCallsTest.java
+++ b/src/test/java/org/otterpond/proxy/WorkerClientTest.java
@@ -1,4 +1,4 @@
-package org.otterpond.cargo;
+package org.otterpond.proxy;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
@@ -12,11 +12,11 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
-import org.otterpond.keys.KeeperHost;
-import org.otterpond.quay.Quay;
+import org.otterpond.keyrange.KeyRangeRuntime;
+import org.otterpond.net.EventLoop;
 
 /** The keeper's calls to workers, over real sockets. */
-class WorkerCallsTest {
+class WorkerClientTest {
   private static final String OK = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
 
   private static void serve(ServerSocket server) {
@@ -70,25 +70,25 @@
 
   @Test
   void answerToAnEarlierGrantIsNoRelease() throws Exception {
-    Quay quay = new Quay();
-    Thread owner = new Thread(quay, "owner");
+    EventLoop eventLoop = new EventLoop();
+    Thread owner = new Thread(eventLoop, "owner");
     owner.setDaemon(true);
     owner.start();
-    LinkedBlockingQueue<KeeperHost.Answer> told = new LinkedBlockingQueue<>();
+    LinkedBlockingQueue<KeyRangeRuntime.Answer> told = new LinkedBlockingQueue<>();
     try (ServerSocket server = new ServerSocket(0, 50, InetAddress.getByName("127.0.0.1"))) {
       serve(server);
       String at = "127.0.0.1:" + server.getLocalPort();
-      WorkerCalls calls = new WorkerCalls(quay);
+      WorkerClient calls = new WorkerClient(eventLoop);
       for (int i = 0; i < 2; i++) {
-        quay.execute(() -> calls.call(at, "i-1", "/-/grant", "{}", 2_000_000, told::add));
+        eventLoop.execute(() -> calls.call(at, "i-1", "/-/grant", "{}", 2_000_000, told::add));
         assertEquals(200, told.poll(5, TimeUnit.SECONDS).status());
       }
-      quay.execute(() -> calls.call(at, "i-1", "/-/release", "{}", 2_000_000, told::add));
-      KeeperHost.Answer a = told.poll(5, TimeUnit.SECONDS);
+      eventLoop.execute(() -> calls.call(at, "i-1", "/-/release", "{}", 2_000_000, told::add));
+      KeyRangeRuntime.Answer a = told.poll(5, TimeUnit.SECONDS);
       assertEquals(200, a.status());
       assertEquals("released", a.token());
     } finally {
-      quay.stop();
+      eventLoop.stop();
     }
   }
 }
--- a/src/test/java/org/otterpond/cargo/HullTest.java
+++ b/src/test/java/org/otterpond/proxy/WorkerEndpointTest.java
@@ -1,4 +1,4 @@
-package org.otterpond.cargo;
+package org.otterpond.proxy;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -10,11 +10,11 @@
  * When a worker that answers nothing is tried last: that follows from how long its service usually
  * takes.
  */
-class HullTest {
+class WorkerEndpointTest {
   private static final long MS = 1_000;
 
-  private static Pace paceOf(long micros) {
-    Pace p = new Pace();
+  private static LatencyAverage paceOf(long micros) {
+    LatencyAverage p = new LatencyAverage();
     for (int i = 0; i < 100; i++) {
       p.answered(micros);
     }
@@ -23,11 +23,11 @@
 
   @Test
   void oneLongRequestOfASlowServiceIsNoSuspicion() {
-    Hull h = new Hull(null, null, paceOf(600 * MS));
+    WorkerEndpoint h = new WorkerEndpoint(null, null, paceOf(600 * MS));
     h.took(0);
     assertFalse(h.suspect(2_000 * MS));
     assertTrue(h.suspect(2_500 * MS));
-    Hull quick = new Hull(null, null, paceOf(20 * MS));
+    WorkerEndpoint quick = new WorkerEndpoint(null, null, paceOf(20 * MS));
     quick.took(0);
     assertFalse(quick.suspect(300 * MS));
     assertTrue(quick.suspect(400 * MS));
@@ -35,7 +35,7 @@
 
   @Test
   void severalUnansweredRequestsSayMoreThanOne() {
-    Hull h = new Hull(null, null, paceOf(600 * MS));
+    WorkerEndpoint h = new WorkerEndpoint(null, null, paceOf(600 * MS));
     for (int i = 0; i < 5; i++) {
       h.took(0);
     }
@@ -48,7 +48,7 @@
 
   @Test
   void aFewSlowAnswersDoNotPassForTheUsual() {
-    Pace p = paceOf(100 * MS);
+    LatencyAverage p = paceOf(100 * MS);
     for (int i = 0; i < 64; i++) {
       p.answered(i % 5 == 0 ? 2_000 * MS : 100 * MS);
     }
--- a/src/test/java/org/otterpond/keel/CoreLeavingTest.java
+++ b/src/test/java/org/otterpond/server/CoreMemberShutdownTest.java
@@ -1,4 +1,4 @@
-package org.otterpond.keel;
+package org.otterpond.server;
 
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -11,13 +11,13 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /** A process of the core that is told to end: it holds one of the copies that are wanted. */
-class CoreLeavingTest {
+class CoreMemberShutdownTest {
   @Test
   void memberThatNobodyCanReplaceStaysForItsWholeTime(@TempDir Path folder) throws Exception {
     int internal = LoopbackNode.freePort();
     int control = LoopbackNode.freePort();
     CountDownLatch ended = new CountDownLatch(1);
-    Keel leaver = start(folder, "127.0.0.1", internal, control, ended::countDown);
+    NodeServer leaver = start(folder, "127.0.0.1", internal, control, ended::countDown);
     start(folder, "127.0.0.2", internal, control, () -> {});
     String config = "{\"revision\":1,\"route_table\":[],\"service_table\":[]}";
     LoopbackNode.untilAnswered(
@@ -32,7 +32,7 @@
     assertTrue(ended.await(6, TimeUnit.SECONDS), "its time is up all the same");
   }
 
-  private static Keel start(Path folder, String ip, int internal, int control, Runnable end)
+  private static NodeServer start(Path folder, String ip, int internal, int control, Runnable end)
       throws Exception {
     Path file = folder.resolve(ip + ".json");
     Files.writeString(
--- a/src/test/java/org/otterpond/keel/GatewayLoopbackTest.java
+++ b/src/test/java/org/otterpond/server/GatewayLoopbackTest.java
@@ -1,4 +1,4 @@
-package org.otterpond.keel;
+package org.otterpond.server;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -17,7 +17,7 @@
 import org.junit.jupiter.api.io.TempDir;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import org.otterpond.client.Client;
+import org.otterpond.cli.OtterpondCommand;
 
 /** One node over real sockets: what a client, a worker and an operator may do to HTTP. */
 class GatewayLoopbackTest {
@@ -467,20 +467,20 @@
   @Test
   void clientReadsChecksAndReportsByExitCode(@TempDir Path folder) throws IOException {
     String node = "127.0.0.1:" + control;
-    assertEquals(0, Client.execute("status", "--node", node));
-    assertEquals(0, Client.execute("config", "get", "-n", node));
+    assertEquals(0, OtterpondCommand.execute("status", "--node", node));
+    assertEquals(0, OtterpondCommand.execute("config", "get", "-n", node));
     Path file = folder.resolve("c.json");
     Files.writeString(file, "{\"revision\":8,\"route_table\":[],\"service_table\":[]}");
-    assertEquals(0, Client.execute("config", "validate", file.toString()));
+    assertEquals(0, OtterpondCommand.execute("config", "validate", file.toString()));
     assertEquals(
         1,
-        Client.execute("config", "replace", "-n", node, "--base", "77", file.toString()),
+        OtterpondCommand.execute("config", "replace", "-n", node, "--base", "77", file.toString()),
         "lost race");
     Files.writeString(file, "{\"revision\":8}");
-    assertEquals(1, Client.execute("config", "validate", file.toString()));
-    assertEquals(2, Client.execute("config", "replace"));
-    assertEquals(2, Client.execute());
-    assertEquals(3, Client.execute("status", "-n", "127.0.0.1:1"));
+    assertEquals(1, OtterpondCommand.execute("config", "validate", file.toString()));
+    assertEquals(2, OtterpondCommand.execute("config", "replace"));
+    assertEquals(2, OtterpondCommand.execute());
+    assertEquals(3, OtterpondCommand.execute("status", "-n", "127.0.0.1:1"));
   }
 
   @Test
--- a/src/test/java/org/otterpond/keel/LeavingTest.java
+++ b/src/test/java/org/otterpond/server/GracefulShutdownTest.java
@@ -1,4 +1,4 @@
-package org.otterpond.keel;
+package org.otterpond.server;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -11,7 +11,7 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /** A node that is told to end: whatever it has read gets a whole answer. */
-class LeavingTest {
+class GracefulShutdownTest {
   private static String get(String path, String id) {
     return "GET "
         + path
@@ -61,7 +61,7 @@
     CompletableFuture<String> often = later(front, get("/i/stuck", "a2"));
     assertTrue(reached.await(5, TimeUnit.SECONDS));
 
-    node.keel.leave();
+    node.server.leave();
     assertTrue(
         call(front, get("/i/early", "a3")).startsWith("HTTP/1.1 200"), "there is time for it");
     String late = "";
--- a/src/test/java/org/otterpond/keel/LoopbackNode.java
+++ b/src/test/java/org/otterpond/server/LoopbackNode.java
@@ -1,11 +1,11 @@
-package org.otterpond.keel;
+package org.otterpond.server;
 
 import java.io.IOException;
 import java.net.ServerSocket;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.concurrent.TimeUnit;
-import org.otterpond.chart.Settings;
+import org.otterpond.config.NodeSettings;
 
 /**
  * One node over real sockets, on ports that are free, with the calls that every test of it begins
@@ -14,7 +14,7 @@
 final class LoopbackNode {
   final int front = freePort();
   final int control = freePort();
-  final Keel keel;
+  final NodeServer server;
   private final int internal = freePort();
 
   /**
@@ -40,11 +40,11 @@
             + "\",\"bounds\":{"
             + bounds
             + "}}");
-    keel = run(file, end);
+    server = run(file, end);
   }
 
-  static Keel run(Path file, Runnable end) throws Exception {
-    Keel k = new Keel(file, Settings.load(file), end);
+  static NodeServer run(Path file, Runnable end) throws Exception {
+    NodeServer k = new NodeServer(file, NodeSettings.load(file), end);
     Thread t =
         new Thread(
             () -> {
@@ -60,7 +60,7 @@
   }
 
   /** A machine that stores messages, at another address of the loopback. */
-  Keel store(Path folder, String ip, String bounds, Runnable end) throws Exception {
+  NodeServer store(Path folder, String ip, String bounds, Runnable end) throws Exception {
     Path file = folder.resolve("store-" + ip + ".json");
     Files.writeString(
         file,
--- a/src/test/java/org/otterpond/keel/MessageLoopbackTest.java
+++ b/src/test/java/org/otterpond/server/MessageLoopbackTest.java
@@ -1,4 +1,4 @@
-package org.otterpond.keel;
+package org.otterpond.server;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
@@ -15,7 +15,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
-import org.otterpond.client.Client;
+import org.otterpond.cli.OtterpondCommand;
 
 /** The message tier over real sockets and disks: an edge node and two stores. */
 class MessageLoopbackTest {
@@ -233,7 +233,7 @@
     stateWhen(id, "completed");
     assertEquals(
         0,
-        Client.execute(
+        OtterpondCommand.execute(
             "message",
             "state",
             "-n",
@@ -245,10 +245,13 @@
             id));
     // Two stores hold two copies each: neither can go.
     assertEquals(
-        1, Client.execute("retire", "begin", "-n", "127.0.0.1:" + node.control, "store-127.0.0.2"));
+        1,
+        OtterpondCommand.execute(
+            "retire", "begin", "-n", "127.0.0.1:" + node.control, "store-127.0.0.2"));
     assertEquals(
         1,
-        Client.execute("retire", "status", "-n", "127.0.0.1:" + node.control, "store-127.0.0.2"));
-    assertEquals(0, Client.execute("status", "-n", "127.0.0.1:" + node.control));
+        OtterpondCommand.execute(
+            "retire", "status", "-n", "127.0.0.1:" + node.control, "store-127.0.0.2"));
+    assertEquals(0, OtterpondCommand.execute("status", "-n", "127.0.0.1:" + node.control));
   }
 }
--- a/src/test/java/org/otterpond/keel/WrongCallerTest.java
+++ b/src/test/java/org/otterpond/server/MisdirectedResponseTest.java
@@ -1,4 +1,4 @@
-package org.otterpond.keel;
+package org.otterpond.server;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -23,15 +23,15 @@
 import org.junit.jupiter.api.io.TempDir;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import org.otterpond.quay.Links;
-import org.otterpond.quay.Quay;
-import org.otterpond.signal.Flag;
+import org.otterpond.net.EventLoop;
+import org.otterpond.net.PeerTransport;
+import org.otterpond.protocol.WireRecord;
 
 /**
  * Answers that could reach the wrong caller, and requests that could be sent twice, through one
  * node's real sockets.
  */
-class WrongCallerTest {
+class MisdirectedResponseTest {
   private static final Set<Integer> PROMISES = Set.of(408, 421, 429, 503);
 
   private static int front;
@@ -297,12 +297,12 @@
       for (int i = 0; i < 2_000 && worker.requests.isEmpty(); i++) {
         TimeUnit.MILLISECONDS.sleep(1);
       }
-      Flag claim =
-          new Flag("ask")
+      WireRecord claim =
+          new WireRecord("ask")
               .with("op", "claim")
               .with("key", "host h.example\norphan")
               .with("holder", "peer");
-      Flag told = peer.ask(claim.with("token", "peer"));
+      WireRecord told = peer.ask(claim.with("token", "peer"));
       String token = told.text("run");
       assertNotNull(token, "the request at work holds the key");
       answer.countDown();
@@ -345,9 +345,9 @@
 
   /** Speaks to the node as another node would. */
   private static final class Peer implements AutoCloseable {
-    private final Quay quay = new Quay();
-    private final LinkedBlockingQueue<Flag> replies = new LinkedBlockingQueue<>();
-    private final Links links;
+    private final EventLoop eventLoop = new EventLoop();
+    private final LinkedBlockingQueue<WireRecord> replies = new LinkedBlockingQueue<>();
+    private final PeerTransport links;
     private final String node;
     private long rid;
 
@@ -368,8 +368,8 @@
         port = s.getLocalPort();
       }
       links =
-          new Links(
-              quay,
+          new PeerTransport(
+              eventLoop,
               "127.0.0.1:" + port,
               (from, f) -> {
                 if (f.kind().equals("reply")) {
@@ -377,22 +377,22 @@
                 }
               },
               (address, neverUp, connection) -> {});
-      Thread t = new Thread(quay, "peer");
+      Thread t = new Thread(eventLoop, "peer");
       t.setDaemon(true);
       t.start();
     }
 
-    Flag ask(Flag f) throws InterruptedException {
+    WireRecord ask(WireRecord f) throws InterruptedException {
       f.with("rid", ++rid);
-      quay.execute(() -> links.send(node, f));
-      Flag reply = replies.poll(5, TimeUnit.SECONDS);
+      eventLoop.execute(() -> links.send(node, f));
+      WireRecord reply = replies.poll(5, TimeUnit.SECONDS);
       assertNotNull(reply, "no reply to " + f);
       return reply;
     }
 
     @Override
     public void close() {
-      quay.stop();
+      eventLoop.stop();
     }
   }
 }
--- a/src/test/java/org/otterpond/keel/ScriptedWorker.java
+++ b/src/test/java/org/otterpond/server/ScriptedWorker.java
@@ -1,4 +1,4 @@
-package org.otterpond.keel;
+package org.otterpond.server;
 
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
--- a/src/test/java/org/otterpond/sim/BlankDiskTest.java
+++ b/src/test/java/org/otterpond/simulation/BlankDiskTest.java
@@ -1,4 +1,4 @@
-package org.otterpond.sim;
+package org.otterpond.simulation;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
@@ -13,11 +13,11 @@
 
   @Test
   void isTakenInThoughItsSeedsAreCutOff() {
-    SimFleet f = new SimFleet(611, 4, 4, 1);
+    SimulatedCluster f = new SimulatedCluster(611, 4, 4, 1);
     f.world.run(9 * S);
     assertNotNull(f.leader(), f::tail);
     // Of the seeds d1, n1 and n2 the latter two are left to one that knows nobody else.
-    SimNode wiped = f.world.nodes.get("d1:1");
+    SimulatedNode wiped = f.world.nodes.get("d1:1");
     wiped.losePower();
     wiped.disk.wipe();
     f.world.run(2 * S);
@@ -28,7 +28,7 @@
     f.world.run(4 * S);
     assertTrue(f.leader().node.known().hasMember(wiped.disk.id), () -> "not taken in\n" + f.tail());
     // So the next loss is borne.
-    SimNode leader = f.leader();
+    SimulatedNode leader = f.leader();
     leader.losePower();
     leader.disk.wipe();
     f.world.run(3 * S);
--- a/src/test/java/org/otterpond/sim/CatchUpTest.java
+++ b/src/test/java/org/otterpond/simulation/CatchUpTest.java
@@ -1,4 +1,4 @@
-package org.otterpond.sim;
+package org.otterpond.simulation;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
@@ -7,7 +7,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import org.otterpond.signal.Flag;
+import org.otterpond.protocol.WireRecord;
 
 /**
  * Members that were away: how soon they hold what all hold, and that they never go on from what
@@ -16,14 +16,14 @@
 class CatchUpTest {
   private static final long S = 1_000_000;
 
-  private static SimFleet founded(long seed, int disks, int faults) {
-    SimFleet f = new SimFleet(seed, disks, 2, faults);
+  private static SimulatedCluster founded(long seed, int disks, int faults) {
+    SimulatedCluster f = new SimulatedCluster(seed, disks, 2, faults);
     f.world.run(9 * S);
     assertNotNull(f.leader(), () -> "no leader\n" + f.tail());
     return f;
   }
 
-  private static SimNode backup(SimFleet f) {
+  private static SimulatedNode backup(SimulatedCluster f) {
     return f.world.nodes.get(f.leader().node.known().backups().get(0).address());
   }
 
@@ -31,10 +31,10 @@
   @Test
   void backupThatStartsAgainIsABackupAgainAtOnce() {
     for (long seed = 501; seed <= 510; seed++) {
-      SimFleet f = founded(seed, 4, 1);
+      SimulatedCluster f = founded(seed, 4, 1);
       f.callers();
       f.world.run(2 * S);
-      SimNode b = backup(f);
+      SimulatedNode b = backup(f);
       long epoch = f.leader().node.known().epoch();
       b.kill();
       f.world.run(1_000);
@@ -54,10 +54,10 @@
    */
   @Test
   void backupThatStartedAgainAcknowledgesNothingOfTheEpochThatItFollowed() {
-    SimFleet f = founded(521, 4, 1);
+    SimulatedCluster f = founded(521, 4, 1);
     f.change(() -> {});
     f.world.run(S);
-    SimNode b = backup(f);
+    SimulatedNode b = backup(f);
     String leader = f.leader().address;
     long epoch = f.leader().node.known().epoch();
     b.kill();
@@ -66,13 +66,13 @@
     f.world.cut(leader, b.address);
     b.deliver(
         leader,
-        new Flag("rep")
+        new WireRecord("rep")
             .with("epoch", epoch)
             .with("seq", 1)
-            .withFlags(
+            .withRecords(
                 "entries",
                 List.of(
-                    new Flag("claim")
+                    new WireRecord("claim")
                         .with("key", "old")
                         .with("token", "old")
                         .with("holder", "n1:1"))));
@@ -87,14 +87,14 @@
    */
   @Test
   void memberThatWasAwayCatchesUpThroughHundredsOfChanges() {
-    SimFleet f = founded(531, 6, 2);
+    SimulatedCluster f = founded(531, 6, 2);
     f.callers();
     int fresh = 0;
     for (int turn = 0; f.checker.acknowledgements < 600; turn++) {
       assertTrue(turn < 200, () -> f.checker.acknowledgements + " changes\n" + f.tail());
-      List<SimNode> away = new ArrayList<>();
+      List<SimulatedNode> away = new ArrayList<>();
       for (int i = 0; i < 1 + turn % 2; i++) {
-        SimNode n =
+        SimulatedNode n =
             turn % 3 == 0 && i == 0 && f.leader() != null
                 ? f.leader()
                 : f.disks.get(f.world.random.nextInt(f.disks.size()));
@@ -118,12 +118,12 @@
       }
       f.world.run(f.world.random.nextInt(4) * S);
       f.world.heal();
-      away.forEach(SimNode::joinLate);
+      away.forEach(SimulatedNode::joinLate);
       // A change may be taken at any moment: what was newest a second ago is to be held by now.
       f.world.run(3 * S);
       long newest = f.checker.newestAcknowledged();
       f.world.run(S);
-      for (SimNode n : away) {
+      for (SimulatedNode n : away) {
         assertTrue(
             n.node.revision() >= newest,
             () -> n.address + " holds " + n.node.revision() + " of " + newest + "\n" + f.tail());
--- a/src/test/java/org/otterpond/sim/ChangesToNodesTest.java
+++ b/src/test/java/org/otterpond/simulation/ConfigurationDeliveryTest.java
@@ -1,24 +1,24 @@
-package org.otterpond.sim;
+package org.otterpond.simulation;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import org.junit.jupiter.api.Test;
-import org.otterpond.signal.Bale;
-import org.otterpond.signal.Flag;
+import org.otterpond.protocol.CompressedPayload;
+import org.otterpond.protocol.WireRecord;
 
 /**
  * A node some versions behind is sent the changes in their order, and the whole text only if it
  * cannot use them.
  */
-class ChangesToNodesTest {
+class ConfigurationDeliveryTest {
   private static final long S = 1_000_000;
   private static final int SERVICES = 2_000;
 
   /** Some 2,000 services under names that do not pack into nothing. */
-  private static SimFleet configured() {
-    SimFleet f = new SimFleet(601, 3, 3, 1);
+  private static SimulatedCluster configured() {
+    SimulatedCluster f = new SimulatedCluster(601, 3, 3, 1);
     StringBuilder s = new StringBuilder("[");
     for (int i = 0; i < SERVICES; i++) {
       s.append(i == 0 ? "" : ",")
@@ -35,7 +35,7 @@
     return f;
   }
 
-  private static long modified(SimFleet f, long base, int times) {
+  private static long modified(SimulatedCluster f, long base, int times) {
     for (int i = 0; i < times; i++) {
       long from = base + i;
       f.world.at(
@@ -44,13 +44,13 @@
               f.leader()
                   .node
                   .ask(
-                      new Flag("ask")
+                      new WireRecord("ask")
                           .with("op", "write")
                           .with("kind", "modify")
                           .with("base", from)
                           .with(
                               "text",
-                              Bale.pack(
+                              CompressedPayload.pack(
                                   "{\"revision\":"
                                       + (from + 1)
                                       + ",\"upsert_items\":{\"service_table\":[{\"name\":\"added-"
@@ -66,8 +66,8 @@
 
   @Test
   void nodeThatMissedAFewChangesIsSentThese() {
-    SimFleet f = configured();
-    SimNode away = f.world.nodes.get("n3:1");
+    SimulatedCluster f = configured();
+    SimulatedNode away = f.world.nodes.get("n3:1");
     long base = away.node.revision();
     f.world.cutOff(away.address);
     long newest = modified(f, base, 6);
@@ -83,8 +83,8 @@
 
   @Test
   void nodeThatMissedMoreThanTheLogHoldsIsSentTheWhole() {
-    SimFleet f = configured();
-    SimNode away = f.world.nodes.get("n3:1");
+    SimulatedCluster f = configured();
+    SimulatedNode away = f.world.nodes.get("n3:1");
     long base = away.node.revision();
     f.world.cutOff(away.address);
     long newest = modified(f, base, 40);
--- a/src/test/java/org/otterpond/sim/OrdersTest.java
+++ b/src/test/java/org/otterpond/simulation/ConfigurationWritesTest.java
@@ -1,4 +1,4 @@
-package org.otterpond.sim;
+package org.otterpond.simulation;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -11,34 +11,34 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import org.otterpond.signal.Bale;
-import org.otterpond.signal.Flag;
+import org.otterpond.protocol.CompressedPayload;
+import org.otterpond.protocol.WireRecord;
 
 /**
  * Orders that come again, and orders that meet a primary which does not know yet that it is one no
  * more.
  */
-class OrdersTest {
+class ConfigurationWritesTest {
   private static final long S = 1_000_000;
 
   /** An address at which nobody listens: what is sent there is only counted. */
   private static final String PROBE = "probe:1";
 
-  private static SimFleet founded(long seed, int disks, int faults) {
-    SimFleet f = new SimFleet(seed, disks, 4, faults);
+  private static SimulatedCluster founded(long seed, int disks, int faults) {
+    SimulatedCluster f = new SimulatedCluster(seed, disks, 4, faults);
     f.world.run(9 * S);
     assertNotNull(f.leader(), f::tail);
     return f;
   }
 
-  private static Flag order(long base, long revision, String name) {
-    return new Flag("ask")
+  private static WireRecord order(long base, long revision, String name) {
+    return new WireRecord("ask")
         .with("op", "write")
         .with("kind", "replace")
         .with("base", base)
         .with(
             "text",
-            Bale.pack(
+            CompressedPayload.pack(
                 "{\"revision\":"
                     + revision
                     + ",\"route_table\":[],\"service_table\":[{\"name\":\""
@@ -47,15 +47,15 @@
   }
 
   /** The answer to an order given at a node, or 0 if none is clear. */
-  private int give(SimFleet f, SimNode at, Flag order) {
+  private int give(SimulatedCluster f, SimulatedNode at, WireRecord order) {
     int[] status = {0};
     at.node.ask(order, 900_000, 250_000, r -> status[0] = r == null ? 0 : (int) r.number("status"));
     f.world.run(S);
     return status[0];
   }
 
-  private static void sendMany(SimFleet f, long from, int count) {
-    SimNode at = f.world.nodes.get("n1:1");
+  private static void sendMany(SimulatedCluster f, long from, int count) {
+    SimulatedNode at = f.world.nodes.get("n1:1");
     for (long base = from; base < from + count; base++) {
       f.checker.sent(base + 1);
       int[] status = {0};
@@ -73,17 +73,17 @@
 
   @Test
   void orderThatWasTakenIsConfirmedAgainAfterHundredsOfOthersAndALossOfAllPower() {
-    SimFleet f = founded(301, 4, 1);
+    SimulatedCluster f = founded(301, 4, 1);
     sendMany(f, 0, 600);
-    SimNode at = f.world.nodes.get("n2:1");
+    SimulatedNode at = f.world.nodes.get("n2:1");
     for (int round = 0; round < 2; round++) {
       assertEquals(200, give(f, at, order(0, 1, "s0")));
       assertEquals(200, give(f, at, order(535, 536, "s535")));
       assertEquals(412, give(f, at, order(0, 1, "another")), "the same number, another change");
       assertEquals(412, give(f, at, order(1, 2, "s0")), "the same contents on another base");
-      f.all.forEach(SimNode::losePower);
+      f.all.forEach(SimulatedNode::losePower);
       f.world.run(S);
-      f.all.forEach(SimNode::start);
+      f.all.forEach(SimulatedNode::start);
       f.world.run(4 * S);
     }
     assertEquals(List.of(), f.checker.broken, f::tail);
@@ -97,43 +97,47 @@
   @ParameterizedTest
   @ValueSource(longs = {311, 312, 313, 314, 315, 316})
   void primaryThatWakesAnswersNothingByOldState(long seed) {
-    SimFleet f = founded(seed, seed % 2 == 0 ? 4 : 5, seed % 2 == 0 ? 1 : 2);
+    SimulatedCluster f = founded(seed, seed % 2 == 0 ? 4 : 5, seed % 2 == 0 ? 1 : 2);
     sendMany(f, 0, 3);
-    SimNode before = f.leader();
+    SimulatedNode before = f.leader();
     before.node.ask(
-        new Flag("ask").with("op", "claim").with("key", "k").with("token", "t").with("holder", "h"),
+        new WireRecord("ask")
+            .with("op", "claim")
+            .with("key", "k")
+            .with("token", "t")
+            .with("holder", "h"),
         600_000,
         200_000,
         r -> {});
     f.world.run(f.world.random.nextInt(700_000));
     before.freeze();
     f.world.run(3 * S + f.world.random.nextInt(2_000_000));
-    SimNode after = f.leader();
+    SimulatedNode after = f.leader();
     assertNotNull(after, f::tail);
     assertNotSame(before, after);
     sendMany(f, 3, 2);
     assertTrue(before.node.leading(), "it cannot know yet");
-    for (Flag ask :
+    for (WireRecord ask :
         List.of(
             order(5, 6, "next"),
             order(3, 5, "low"),
             order(3, 2, "lower"),
             order(0, 1, "s0"),
-            new Flag("ask").with("op", "read"),
-            new Flag("ask").with("op", "retire").with("node", "store"),
-            new Flag("ask").with("op", "retired").with("node", "store"),
-            new Flag("ask").with("op", "beats").withFlags("beats", List.of()),
-            new Flag("ask")
+            new WireRecord("ask").with("op", "read"),
+            new WireRecord("ask").with("op", "retire").with("node", "store"),
+            new WireRecord("ask").with("op", "retired").with("node", "store"),
+            new WireRecord("ask").with("op", "beats").withRecords("beats", List.of()),
+            new WireRecord("ask")
                 .with("op", "claim")
                 .with("key", "k")
                 .with("token", "t")
                 .with("holder", "h"),
-            new Flag("ask")
+            new WireRecord("ask")
                 .with("op", "claim")
                 .with("key", "k")
                 .with("token", "t2")
                 .with("holder", "h2"),
-            new Flag("ask").with("op", "free").with("key", "k3").with("token", "t3"))) {
+            new WireRecord("ask").with("op", "free").with("key", "k3").with("token", "t3"))) {
       before.node.onMessage(PROBE, ask.with("rid", 1));
     }
     before.thaw();
@@ -151,15 +155,18 @@
    */
   @Test
   void manyWhoAskAtOnceShareTheProofs() {
-    SimFleet f = founded(321, 4, 1);
+    SimulatedCluster f = founded(321, 4, 1);
     sendMany(f, 0, 1);
-    SimNode leader = f.leader();
+    SimulatedNode leader = f.leader();
     f.world.run(S);
     long before = f.world.traffic.get(leader.address)[0];
     int[] read = {0};
     for (int i = 0; i < 200; i++) {
       leader.node.ask(
-          new Flag("ask").with("op", "read"), 900_000, 950_000, r -> read[0] += r == null ? 0 : 1);
+          new WireRecord("ask").with("op", "read"),
+          900_000,
+          950_000,
+          r -> read[0] += r == null ? 0 : 1);
     }
     f.world.run(S);
     assertEquals(200, read[0]);
@@ -174,7 +181,7 @@
           .get("n" + (i % 4 + 1) + ":1")
           .node
           .ask(
-              new Flag("ask").with("op", "read"),
+              new WireRecord("ask").with("op", "read"),
               900_000,
               100_000,
               r -> clear[0] += r == null ? 0 : 1);
--- a/src/test/java/org/otterpond/sim/FleetFaultsTest.java
+++ b/src/test/java/org/otterpond/simulation/FleetFaultsTest.java
@@ -1,4 +1,4 @@
-package org.otterpond.sim;
+package org.otterpond.simulation;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -11,18 +11,18 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import org.otterpond.harbour.VesselState;
+import org.otterpond.control.state.WorkerState;
 
 /** Whole systems under faults, each seed its own schedule. */
 class FleetFaultsTest {
   private static final long S = 1_000_000;
 
-  private static SimFleet founded(long seed) {
+  private static SimulatedCluster founded(long seed) {
     return founded(seed, 4, 1);
   }
 
-  private static SimFleet founded(long seed, int disks, int faults) {
-    SimFleet f = new SimFleet(seed, disks, 4, faults);
+  private static SimulatedCluster founded(long seed, int disks, int faults) {
+    SimulatedCluster f = new SimulatedCluster(seed, disks, 4, faults);
     f.world.run(9 * S);
     assertNotNull(f.leader(), () -> "no leader\n" + f.tail());
     return f;
@@ -31,7 +31,7 @@
   /**
    * After all is well again: order, a change that is taken, and every node with the newest version.
    */
-  private static void settles(SimFleet f, long within) {
+  private static void settles(SimulatedCluster f, long within) {
     f.world.heal();
     f.world.loss = 0;
     f.all.forEach(
@@ -53,7 +53,7 @@
     assertTrue(f.checker.acknowledgements > before, () -> "no change is taken\n" + f.tail());
     assertEquals(List.of(), f.checker.broken, () -> f.tail());
     long newest = f.checker.newestAcknowledged();
-    for (SimNode n : f.all) {
+    for (SimulatedNode n : f.all) {
       if (n.up()) {
         assertEquals(newest, n.node.revision(), () -> n.address + " lags\n" + f.tail());
       }
@@ -63,8 +63,8 @@
   @Test
   void oneCoreIsFoundedThoughASeedDiesMeanwhile() {
     for (long seed = 1; seed <= 12; seed++) {
-      SimFleet f = new SimFleet(seed, 4, 4, 1);
-      SimNode seedNode = f.world.nodes.get(seed % 2 == 0 ? "d1:1" : "n1:1");
+      SimulatedCluster f = new SimulatedCluster(seed, 4, 4, 1);
+      SimulatedNode seedNode = f.world.nodes.get(seed % 2 == 0 ? "d1:1" : "n1:1");
       f.world.run(1_600_000 + f.world.random.nextInt(2_000_000));
       seedNode.kill();
       f.world.run(2 * S);
@@ -96,47 +96,48 @@
   @ParameterizedTest
   @ValueSource(longs = {201, 202, 203, 204, 205, 206, 207, 208, 209, 210})
   void quotasAndWithdrawnKeysHoldUnderFaults(long seed) {
-    SimFleet f = founded(seed, seed % 2 == 0 ? 5 : 8, 2);
+    SimulatedCluster f = founded(seed, seed % 2 == 0 ? 5 : 8, 2);
     f.tenants();
     randomFaults(f, 2);
     assertTrue(f.checker.countedRuns() > 500, "only " + f.checker.countedRuns() + " counted runs");
     assertTrue(f.checker.keyRuns > 1000, "only " + f.checker.keyRuns + " runs under keys");
     f.checker.checkQuota(
-        SimFleet.RATE,
-        SimFleet.BURST,
-        SimFleet.QUOTA.windowMicros(),
-        SimFleet.QUOTA.excess(),
-        SimFleet.QUOTA.slack());
+        SimulatedCluster.RATE,
+        SimulatedCluster.BURST,
+        SimulatedCluster.QUOTA.windowMicros(),
+        SimulatedCluster.QUOTA.excess(),
+        SimulatedCluster.QUOTA.slack());
     assertEquals(List.of(), f.checker.broken, () -> f.tail());
   }
 
   @Test
   void tenantWithinItsQuotaIsServedThroughATakeover() {
-    SimFleet f = founded(211, 5, 2);
+    SimulatedCluster f = founded(211, 5, 2);
     f.change(() -> {});
     f.world.run(4 * S);
     f.tenants();
     f.world.run(5 * S);
     int before = f.checker.countedRuns();
-    assertTrue(before > 5 * SimFleet.RATE, "the whole quota is to be had: " + before);
+    assertTrue(before > 5 * SimulatedCluster.RATE, "the whole quota is to be had: " + before);
     f.leader().kill();
     f.world.run(4 * S);
     int through = f.checker.countedRuns() - before;
     assertTrue(
-        through > 2 * SimFleet.RATE, "only " + through + " runs in four seconds around a takeover");
+        through > 2 * SimulatedCluster.RATE,
+        "only " + through + " runs in four seconds around a takeover");
   }
 
   /** Owners follow each other faster than what the ones before lent expires. */
   @Test
   void quotaHoldsThroughOneTakeoverAfterAnother() {
     for (long seed = 221; seed <= 224; seed++) {
-      SimFleet f = founded(seed, 5, 2);
+      SimulatedCluster f = founded(seed, 5, 2);
       f.change(() -> {});
       f.world.run(4 * S);
       f.tenants();
       f.world.run(2 * S);
       for (int i = 0; i < 4; i++) {
-        SimNode leader = f.leader();
+        SimulatedNode leader = f.leader();
         if (leader != null) {
           leader.kill();
           f.world.run(300_000);
@@ -147,11 +148,11 @@
       f.world.run(3 * S);
       assertTrue(f.checker.countedRuns() > 200, "only " + f.checker.countedRuns());
       f.checker.checkQuota(
-          SimFleet.RATE,
-          SimFleet.BURST,
-          SimFleet.QUOTA.windowMicros(),
-          SimFleet.QUOTA.excess(),
-          SimFleet.QUOTA.slack());
+          SimulatedCluster.RATE,
+          SimulatedCluster.BURST,
+          SimulatedCluster.QUOTA.windowMicros(),
+          SimulatedCluster.QUOTA.excess(),
+          SimulatedCluster.QUOTA.slack());
       assertEquals(List.of(), f.checker.broken, () -> f.tail());
     }
   }
@@ -167,10 +168,10 @@
   }
 
   private static void wakeWithAnOldAnswer(long moment) {
-    SimFleet f = founded(225, 5, 2);
+    SimulatedCluster f = founded(225, 5, 2);
     f.change(() -> {});
     f.world.run(S + moment);
-    SimNode n = f.world.nodes.get("n3:1");
+    SimulatedNode n = f.world.nodes.get("n3:1");
     f.admit(n);
     int before = f.checker.keyRuns;
     assertTrue(before > 0);
@@ -190,32 +191,32 @@
   /** A cut-off node must not serve keys for long, nor refuse them too soon. */
   @Test
   void nodeCutOffTrustsItsKeysForAWhileOnly() {
-    SimFleet f = founded(212, 5, 2);
+    SimulatedCluster f = founded(212, 5, 2);
     f.change(() -> {});
     f.world.run(S);
-    SimNode n = f.world.nodes.get("n3:1");
+    SimulatedNode n = f.world.nodes.get("n3:1");
     f.world.cutOff(n.address);
     f.world.run(3 * S);
-    assertTrue(f.world.now() - n.node.freshAt() < SimFleet.REVOKE);
+    assertTrue(f.world.now() - n.node.freshAt() < SimulatedCluster.REVOKE);
     f.world.run(3 * S);
-    assertTrue(f.world.now() - n.node.freshAt() > SimFleet.REVOKE);
+    assertTrue(f.world.now() - n.node.freshAt() > SimulatedCluster.REVOKE);
     f.world.heal();
     f.world.run(3 * S);
     assertTrue(f.world.now() - n.node.freshAt() < 2 * S);
   }
 
-  private static void randomFaults(SimFleet f, int atOnce) {
+  private static void randomFaults(SimulatedCluster f, int atOnce) {
     f.callers();
     for (int round = 0; round < 8; round++) {
-      List<SimNode> victims = new ArrayList<>(f.disks);
+      List<SimulatedNode> victims = new ArrayList<>(f.disks);
       Collections.shuffle(victims, f.world.random);
-      SimNode leader = f.leader();
+      SimulatedNode leader = f.leader();
       if (leader != null && f.world.random.nextBoolean()) {
         victims.remove(leader);
         victims.add(0, leader);
       }
       victims = victims.subList(0, atOnce);
-      for (SimNode victim : victims) {
+      for (SimulatedNode victim : victims) {
         int what = f.world.random.nextInt(9);
         f.world.event("test", "round=" + round + " victim=" + victim.address + " what=" + what);
         strike(f, victim, what);
@@ -229,14 +230,14 @@
             v.disk.stalled = false;
             v.disk.refusing = false;
           });
-      f.all.forEach(SimNode::start);
+      f.all.forEach(SimulatedNode::start);
       f.world.run(6 * S);
     }
     assertTrue(f.checker.grants > 200, "too few keys ran for the test to mean anything");
     settles(f, 5 * S);
   }
 
-  private static void strike(SimFleet f, SimNode victim, int what) {
+  private static void strike(SimulatedCluster f, SimulatedNode victim, int what) {
     switch (what) {
       case 0 -> victim.kill();
       case 1 -> victim.losePower();
@@ -266,15 +267,15 @@
   @Test
   void acknowledgedChangeOutlivesTwoWipesWhileAllOthersLosePower() {
     for (long seed = 131; seed <= 146; seed++) {
-      SimFleet f = founded(seed, seed % 2 == 0 ? 5 : 8, 2);
+      SimulatedCluster f = founded(seed, seed % 2 == 0 ? 5 : 8, 2);
       f.callers();
       f.world.run(2 * S + f.world.random.nextInt(1_000_000));
-      List<SimNode> group =
+      List<SimulatedNode> group =
           new ArrayList<>(
               f.disks.stream().filter(d -> f.leader().node.known().inGroup(d.disk.id)).toList());
       assertEquals(3, group.size());
       Collections.shuffle(group, f.world.random);
-      f.all.forEach(SimNode::losePower);
+      f.all.forEach(SimulatedNode::losePower);
       group.subList(0, 2).forEach(d -> d.disk.wipe());
       f.world.run(S);
       settles(f, 8 * S);
@@ -284,12 +285,12 @@
   @Test
   void acknowledgedChangeOutlivesTheWipeOfWhoeverAcknowledgedIt() {
     for (long seed = 31; seed <= 40; seed++) {
-      SimFleet f = founded(seed);
+      SimulatedCluster f = founded(seed);
       f.change(() -> {});
       f.world.run(S);
       long newest = f.checker.newestAcknowledged();
       assertTrue(newest > 0);
-      SimNode leader = f.leader();
+      SimulatedNode leader = f.leader();
       leader.losePower();
       leader.disk.wipe();
       f.world.run(2 * S);
@@ -301,11 +302,11 @@
   @Test
   void nodesServeAgainWithinASecondOfTheLastStartAfterAllProcessesWereKilled() {
     for (long seed = 81; seed <= 90; seed++) {
-      SimFleet f = founded(seed);
-      f.all.get(4).node.beat(f.worker("w1", VesselState.IN_SERVICE, 1), ok -> {});
+      SimulatedCluster f = founded(seed);
+      f.all.get(4).node.beat(f.worker("w1", WorkerState.IN_SERVICE, 1), ok -> {});
       f.change(() -> {});
       f.world.run(2 * S);
-      f.all.forEach(SimNode::kill);
+      f.all.forEach(SimulatedNode::kill);
       f.world.run(800_000);
       // Those without a disk are up first, and poll a primary that does not listen yet.
       f.all.forEach(
@@ -316,7 +317,7 @@
                       : 100_000 + f.world.random.nextInt(100_000),
                   n::start));
       f.world.run(900_000);
-      for (SimNode n : f.all) {
+      for (SimulatedNode n : f.all) {
         assertTrue(n.node.revision() > 0, () -> n.address + " has no configuration\n" + f.tail());
         assertTrue(
             f.world.now() - n.node.freshAt() < S,
@@ -326,7 +327,7 @@
                     + (f.world.now() - n.node.freshAt())
                     + "\n"
                     + f.tail());
-        assertEquals(VesselState.IN_SERVICE, n.workers.get("w1").state(), n.address);
+        assertEquals(WorkerState.IN_SERVICE, n.workers.get("w1").state(), n.address);
       }
       settles(f, 3 * S);
     }
@@ -335,12 +336,12 @@
   @Test
   void stalledDiskOfEitherOfThePairIsReplacedWhileItsProcessStillAnswers() {
     for (boolean ofPrimary : new boolean[] {true, false}) {
-      SimFleet f = founded(ofPrimary ? 91 : 92);
+      SimulatedCluster f = founded(ofPrimary ? 91 : 92);
       f.callers();
       f.world.run(2 * S);
-      SimNode leader = f.leader();
+      SimulatedNode leader = f.leader();
       String backup = leader.node.known().backups().get(0).address();
-      SimNode stalled = ofPrimary ? leader : f.world.nodes.get(backup);
+      SimulatedNode stalled = ofPrimary ? leader : f.world.nodes.get(backup);
       stalled.disk.stalled = true;
       f.world.run(2 * S);
       int before = f.checker.grants;
@@ -356,10 +357,10 @@
   @Test
   void coreComesBackWhenAllPowerIsLost() {
     for (long seed = 41; seed <= 48; seed++) {
-      SimFleet f = founded(seed);
+      SimulatedCluster f = founded(seed);
       f.callers();
       f.world.run(4 * S);
-      f.all.forEach(SimNode::losePower);
+      f.all.forEach(SimulatedNode::losePower);
       f.world.run(S);
       settles(f, 6 * S);
     }
@@ -367,16 +368,16 @@
 
   @Test
   void replacedCoreMachineIsTakenInAndTheOldOnePutOut() {
-    SimFleet f = founded(51);
+    SimulatedCluster f = founded(51);
     f.callers();
     f.world.run(2 * S);
-    SimNode gone = f.leader();
+    SimulatedNode gone = f.leader();
     gone.losePower();
     f.all.remove(gone);
     f.disks.remove(gone);
     f.world.nodes.remove(gone.address);
     f.world.run(2_400_000);
-    SimNode fresh = f.add("d9:1", true);
+    SimulatedNode fresh = f.add("d9:1", true);
     fresh.joinLate();
     f.world.run(6 * S);
     assertTrue(f.leader().node.known().hasMember(fresh.disk.id), () -> f.tail());
@@ -386,18 +387,18 @@
 
   @Test
   void drainingIsAcknowledgedOnlyOnceEveryNodeHasIt() {
-    SimFleet f = founded(61);
-    SimNode teller = f.world.nodes.get("n3:1");
-    teller.node.beat(f.worker("w1", VesselState.IN_SERVICE, 1), ok -> {});
+    SimulatedCluster f = founded(61);
+    SimulatedNode teller = f.world.nodes.get("n3:1");
+    teller.node.beat(f.worker("w1", WorkerState.IN_SERVICE, 1), ok -> {});
     f.world.run(S);
-    f.all.forEach(n -> assertEquals(VesselState.IN_SERVICE, n.workers.get("w1").state()));
+    f.all.forEach(n -> assertEquals(WorkerState.IN_SERVICE, n.workers.get("w1").state()));
     boolean[] told = {false};
     teller.node.beat(
-        f.worker("w1", VesselState.DRAINING, 2),
+        f.worker("w1", WorkerState.DRAINING, 2),
         ok -> {
           told[0] = ok;
           f.all.forEach(
-              n -> assertEquals(VesselState.DRAINING, n.workers.get("w1").state(), n.address));
+              n -> assertEquals(WorkerState.DRAINING, n.workers.get("w1").state(), n.address));
         });
     f.world.run(S);
     assertTrue(told[0]);
@@ -405,23 +406,23 @@
 
   @Test
   void newPrimaryLearnsTheWorkersFromThoseWhoWereToldFirst() {
-    SimFleet f = founded(62);
+    SimulatedCluster f = founded(62);
     for (int i = 0; i < 5; i++) {
       f.world
           .nodes
           .get("n" + (1 + i % 4) + ":1")
           .node
-          .beat(f.worker("w" + i, VesselState.IN_SERVICE, 1), ok -> {});
+          .beat(f.worker("w" + i, WorkerState.IN_SERVICE, 1), ok -> {});
     }
     f.world.run(S);
     f.leader().kill();
     f.world.run(2_500_000);
     assertNotNull(f.leader());
-    for (SimNode n : f.all) {
+    for (SimulatedNode n : f.all) {
       if (n.up()) {
         assertEquals(
             5,
-            n.workers.values().stream().filter(w -> w.state() == VesselState.IN_SERVICE).count(),
+            n.workers.values().stream().filter(w -> w.state() == WorkerState.IN_SERVICE).count(),
             n.address);
       }
     }
@@ -431,14 +432,14 @@
   void checkerNoticesADiskThatAnswersBeforeItHasSynced() {
     int noticed = 0;
     for (long seed = 71; seed <= 76; seed++) {
-      SimFleet f = founded(seed);
+      SimulatedCluster f = founded(seed);
       f.disks.forEach(d -> d.disk.lying = true);
       f.callers();
       f.world.run(4 * S);
-      f.all.forEach(SimNode::losePower);
+      f.all.forEach(SimulatedNode::losePower);
       f.disks.forEach(d -> d.disk.lying = false);
       f.world.run(S);
-      f.all.forEach(SimNode::start);
+      f.all.forEach(SimulatedNode::start);
       f.world.run(8 * S);
       noticed += f.checker.broken.isEmpty() ? 0 : 1;
     }
--- a/src/test/java/org/otterpond/sim/FleetScaleTest.java
+++ b/src/test/java/org/otterpond/simulation/FleetScaleTest.java
@@ -1,4 +1,4 @@
-package org.otterpond.sim;
+package org.otterpond.simulation;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
@@ -7,9 +7,9 @@
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import org.otterpond.harbour.Vessel;
-import org.otterpond.harbour.VesselState;
-import org.otterpond.signal.Flag;
+import org.otterpond.control.state.WorkerInstance;
+import org.otterpond.control.state.WorkerState;
+import org.otterpond.protocol.WireRecord;
 
 /**
  * Large fleets: a hundred nodes, cores of six and seven disks, two losses at once; and what grows
@@ -18,15 +18,15 @@
 class FleetScaleTest {
   private static final long S = 1_000_000;
 
-  private static SimFleet founded(long seed, int disks, int without) {
-    SimFleet f = new SimFleet(seed, disks, without, 2);
+  private static SimulatedCluster founded(long seed, int disks, int without) {
+    SimulatedCluster f = new SimulatedCluster(seed, disks, without, 2);
     f.world.run(9 * S);
     assertNotNull(f.leader(), () -> "no leader\n" + f.tail());
     return f;
   }
 
   /** Workers that beat, each at a node with a disk, as they are told to. */
-  private static void beating(SimFleet f, int workers) {
+  private static void beating(SimulatedCluster f, int workers) {
     for (int i = 0; i < workers; i++) {
       // Ids and addresses that do not pack into nothing.
       String id = "i-" + Long.toHexString(i * 0x9e3779b97f4a7c15L >>> 8);
@@ -40,23 +40,24 @@
     f.world.run(2 * S);
   }
 
-  private static void beat(SimFleet f, SimNode at, String id, String address, long sequence) {
+  private static void beat(
+      SimulatedCluster f, SimulatedNode at, String id, String address, long sequence) {
     if (at.up()) {
       at.node.beat(
-          new Vessel(id, "svc", address, "z", "v1", 4, VesselState.IN_SERVICE, sequence, 0),
+          new WorkerInstance(id, "svc", address, "z", "v1", 4, WorkerState.IN_SERVICE, sequence, 0),
           ok -> {});
     }
     f.world.at(1_500_000, () -> beat(f, at, id, address, sequence + 1));
   }
 
-  private static void assertAllKnow(SimFleet f, int workers) {
-    for (SimNode n : f.all) {
+  private static void assertAllKnow(SimulatedCluster f, int workers) {
+    for (SimulatedNode n : f.all) {
       if (n.up()) {
         assertEquals(
             f.checker.newestAcknowledged(), n.node.revision(), () -> n.address + "\n" + f.tail());
         assertEquals(
             workers,
-            n.workers.values().stream().filter(w -> w.state() == VesselState.IN_SERVICE).count(),
+            n.workers.values().stream().filter(w -> w.state() == WorkerState.IN_SERVICE).count(),
             n.address);
       }
     }
@@ -65,14 +66,14 @@
   @Test
   void hundredNodesFollowTheirPrimaryThroughTheLossOfTwoOfItsGroup() {
     for (int disks = 6; disks <= 7; disks++) {
-      SimFleet f = founded(300 + disks, disks, 100 - disks);
+      SimulatedCluster f = founded(300 + disks, disks, 100 - disks);
       f.change(() -> {});
       beating(f, 300);
       assertAllKnow(f, 300);
-      List<SimNode> group =
+      List<SimulatedNode> group =
           new ArrayList<>(
               f.disks.stream().filter(d -> f.leader().node.known().inGroup(d.disk.id)).toList());
-      SimNode leader = f.leader();
+      SimulatedNode leader = f.leader();
       group.remove(leader);
       leader.losePower();
       leader.disk.wipe();
@@ -93,11 +94,11 @@
    */
   @Test
   void coreCutInHalvesBeginsNoEpochAndHeals() {
-    SimFleet f = founded(311, 6, 94);
+    SimulatedCluster f = founded(311, 6, 94);
     f.change(() -> {});
     f.world.run(2 * S);
-    List<SimNode> left = f.all.subList(0, 3);
-    for (SimNode a : left) {
+    List<SimulatedNode> left = f.all.subList(0, 3);
+    for (SimulatedNode a : left) {
       f.all.stream().filter(b -> !left.contains(b)).forEach(b -> f.world.cut(a.address, b.address));
     }
     long began = epochs(f);
@@ -115,15 +116,15 @@
     assertEquals(List.of(), f.checker.broken, () -> f.tail());
   }
 
-  private static long epochs(SimFleet f) {
+  private static long epochs(SimulatedCluster f) {
     return f.world.log.stream().filter(l -> l.contains("event=epoch_began")).count();
   }
 
   /** Claims one after another, so that there is hardly a moment without a batch on its way. */
-  private static void pressing(SimFleet f, int number) {
-    SimNode n = f.all.get(f.disks.size() + number % 50);
+  private static void pressing(SimulatedCluster f, int number) {
+    SimulatedNode n = f.all.get(f.disks.size() + number % 50);
     n.node.ask(
-        new Flag("ask")
+        new WireRecord("ask")
             .with("op", "claim")
             .with("key", "p" + number)
             .with("token", "t" + number)
@@ -136,12 +137,12 @@
 
   @Test
   void wipedDiskIsTakenInAgainHoweverManyClaimsThereAre() {
-    SimFleet f = founded(351, 6, 94);
+    SimulatedCluster f = founded(351, 6, 94);
     f.change(() -> {});
     f.world.run(2 * S);
     pressing(f, 0);
     f.world.run(S);
-    SimNode wiped =
+    SimulatedNode wiped =
         f.disks.stream()
             .filter(d -> !f.leader().node.known().inGroup(d.disk.id))
             .findFirst()
@@ -163,10 +164,10 @@
   @Test
   void newEpochIsKnownToAllNodesAtOnce() {
     for (boolean ofPrimary : new boolean[] {false, true}) {
-      SimFleet f = founded(341, 6, 94);
+      SimulatedCluster f = founded(341, 6, 94);
       f.change(() -> {});
       f.world.run(3 * S);
-      SimNode leader = f.leader();
+      SimulatedNode leader = f.leader();
       String backup = leader.node.known().backups().get(0).address();
       long before = epochs(f);
       (ofPrimary ? leader : f.world.nodes.get(backup)).losePower();
@@ -192,14 +193,14 @@
    * rest.
    */
   private static Load[] atRest(int without, int workers) {
-    SimFleet f = founded(321, 6, without);
+    SimulatedCluster f = founded(321, 6, without);
     f.change(() -> {});
     beating(f, workers);
     f.world.run(3 * S);
     return measured(f, 10, () -> {});
   }
 
-  private static Load[] measured(SimFleet f, int seconds, Runnable event) {
+  private static Load[] measured(SimulatedCluster f, int seconds, Runnable event) {
     f.world.traffic.clear();
     event.run();
     f.world.run(seconds * S);
@@ -235,7 +236,7 @@
   void takeoverCostsOneNodeTheSameInALargeFleet() {
     Load[][] at = new Load[2][];
     for (int i = 0; i < 2; i++) {
-      SimFleet f = founded(331, 6, i == 0 ? 34 : 134);
+      SimulatedCluster f = founded(331, 6, i == 0 ? 34 : 134);
       f.change(() -> {});
       beating(f, i == 0 ? 100 : 400);
       f.world.run(3 * S);
--- a/src/test/java/org/otterpond/sim/CutOffTest.java
+++ b/src/test/java/org/otterpond/simulation/IsolatedCoreMemberTest.java
@@ -1,4 +1,4 @@
-package org.otterpond.sim;
+package org.otterpond.simulation;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
@@ -8,16 +8,16 @@
 import java.util.List;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import org.otterpond.harbour.VesselState;
-import org.otterpond.signal.Bale;
-import org.otterpond.signal.Flag;
+import org.otterpond.control.state.WorkerState;
+import org.otterpond.protocol.CompressedPayload;
+import org.otterpond.protocol.WireRecord;
 
 /**
  * A core machine out of touch for twenty seconds, while everybody goes on asking it: it confirms
  * nothing, refuses nothing and gives out nothing old; the others lead soon; on its return it is
  * soon whole.
  */
-class CutOffTest {
+class IsolatedCoreMemberTest {
   private static final long S = 1_000_000;
 
   /** From the beginning of the cut until a primary whom the others hear leads. */
@@ -31,12 +31,12 @@
 
   private static final long WHOLE_AGAIN = 4 * S;
 
-  private SimFleet fleet;
+  private SimulatedCluster fleet;
   private long revision;
   private long confirmedAt;
   private long longestGap;
   private boolean ordering = true;
-  private SimNode lastAsked;
+  private SimulatedNode lastAsked;
   private final List<String> wrong = new ArrayList<>();
 
   @ParameterizedTest
@@ -58,11 +58,11 @@
 
   private void cutOff(long seed, int disks, int faults, String role, String way) {
     String name = role + " " + way + " seed=" + seed + " of " + disks;
-    fleet = new SimFleet(seed, disks, 4, faults);
+    fleet = new SimulatedCluster(seed, disks, 4, faults);
     revision = 0;
     ordering = true;
     wrong.clear();
-    SimWorld world = fleet.world;
+    SimulatedWorld world = fleet.world;
     world.run(9 * S);
     assertNotNull(fleet.leader(), fleet::tail);
     confirmedAt = world.now();
@@ -72,12 +72,12 @@
     world.run(2 * S);
     assertTrue(revision > 3, () -> name + "\n" + fleet.tail());
 
-    SimNode primary = fleet.leader();
-    SimNode victim = victim(primary, role);
+    SimulatedNode primary = fleet.leader();
+    SimulatedNode victim = victim(primary, role);
     longestGap = 0;
     confirmedAt = world.now();
     long epoch = primary.node.known().epoch();
-    for (SimNode other : fleet.disks) {
+    for (SimulatedNode other : fleet.disks) {
       boolean pair =
           way.equals("BLIND")
               && (role.equals("PRIMARY")
@@ -100,7 +100,7 @@
     long ledAt = 0;
     while (world.now() < cutAt + 20 * S) {
       world.run(20_000);
-      SimNode leader = fleet.leader();
+      SimulatedNode leader = fleet.leader();
       if (ledAt == 0
           && leader != null
           && (leader != victim || way.equals("BLIND"))
@@ -124,14 +124,14 @@
     world.heal();
     victim.thaw();
     world.run(WHOLE_AGAIN);
-    SimNode leader = fleet.leader();
+    SimulatedNode leader = fleet.leader();
     assertNotNull(leader, () -> name + "\n" + fleet.tail());
     assertTrue(
         leader.node.known().hasMember(victim.disk.id),
         () -> name + " is no member\n" + fleet.tail());
     ordering = false;
     world.run(2 * S);
-    for (SimNode n : fleet.all) {
+    for (SimulatedNode n : fleet.all) {
       assertEquals(
           leader.node.known().epoch(), n.node.known().epoch(), () -> name + " " + n.address);
       assertEquals(revision, n.node.revision(), () -> name + " " + n.address + "\n" + fleet.tail());
@@ -140,7 +140,7 @@
     assertEquals(List.of(), fleet.checker.broken, () -> name + "\n" + fleet.tail());
   }
 
-  private SimNode victim(SimNode primary, String role) {
+  private SimulatedNode victim(SimulatedNode primary, String role) {
     return fleet.disks.stream()
         .filter(
             d ->
@@ -167,21 +167,22 @@
   }
 
   private void send(long next) {
-    Flag order =
-        new Flag("ask")
+    WireRecord order =
+        new WireRecord("ask")
             .with("op", "write")
             .with("kind", "replace")
             .with("base", next - 1)
             .with(
                 "text",
-                Bale.pack("{\"revision\":" + next + ",\"route_table\":[],\"service_table\":[]}"));
-    SimWorld world = fleet.world;
-    SimNode n = fleet.anyUp();
+                CompressedPayload.pack(
+                    "{\"revision\":" + next + ",\"route_table\":[],\"service_table\":[]}"));
+    SimulatedWorld world = fleet.world;
+    SimulatedNode n = fleet.anyUp();
     while (n == lastAsked) {
       n = fleet.anyUp();
     }
     lastAsked = n;
-    SimNode asked = n;
+    SimulatedNode asked = n;
     boolean[] done = {false};
     asked.perform(
         () ->
@@ -223,12 +224,12 @@
             }
           }
         });
-    SimNode reader = fleet.anyUp();
+    SimulatedNode reader = fleet.anyUp();
     long before = fleet.checker.newestAcknowledged();
     reader.perform(
         () ->
             reader.node.ask(
-                new Flag("ask").with("op", "read"),
+                new WireRecord("ask").with("op", "read"),
                 850_000,
                 250_000,
                 r -> {
@@ -239,8 +240,8 @@
   }
 
   private void beats(String id, long sequence) {
-    SimNode n = fleet.anyUp();
-    n.perform(() -> n.node.beat(fleet.worker(id, VesselState.IN_SERVICE, sequence), ok -> {}));
+    SimulatedNode n = fleet.anyUp();
+    n.perform(() -> n.node.beat(fleet.worker(id, WorkerState.IN_SERVICE, sequence), ok -> {}));
     fleet.world.at(400_000, () -> beats(id, sequence + 1));
   }
 }
--- a/src/test/java/org/otterpond/sim/KeyOwnersTest.java
+++ b/src/test/java/org/otterpond/simulation/KeyRangeOwnershipTest.java
@@ -1,4 +1,4 @@
-package org.otterpond.sim;
+package org.otterpond.simulation;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -12,24 +12,24 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** One owner a key, whoever crashes, wakes or moves meanwhile; looked at from outside. */
-class KeyOwnersTest {
+class KeyRangeOwnershipTest {
   private static final long S = 1_000_000;
 
   private static final class Divided {
-    final SimFleet fleet;
-    final SimWorkers workers;
+    final SimulatedCluster fleet;
+    final SimulatedWorkers workers;
 
     Divided(long seed, int count) {
-      fleet = new SimFleet(seed, 4, 4, 1);
-      fleet.services = "[{\"name\":\"" + SimWorkers.SERVICE + "\",\"partitioned\":true}]";
-      workers = new SimWorkers(fleet);
+      fleet = new SimulatedCluster(seed, 4, 4, 1);
+      fleet.services = "[{\"name\":\"" + SimulatedWorkers.SERVICE + "\",\"partitioned\":true}]";
+      workers = new SimulatedWorkers(fleet);
       fleet.world.run(9 * S);
       for (int i = 1; i <= count; i++) {
         workers.add("k" + i + ":80");
       }
       fleet.change(() -> {});
       fleet.world.run(6 * S);
-      assertEquals(SimWorkers.keys(), workers.held(), () -> fleet.tail());
+      assertEquals(SimulatedWorkers.keys(), workers.held(), () -> fleet.tail());
       workers.requests();
       fleet.world.run(S);
     }
@@ -45,10 +45,10 @@
       fleet.world.run(14 * S);
       assertEquals(List.of(), workers.broken, () -> fleet.tail());
       // One range may be on its way from one to another at any moment; none stays so.
-      for (int i = 0; i < 20 && workers.held() < SimWorkers.keys(); i++) {
+      for (int i = 0; i < 20 && workers.held() < SimulatedWorkers.keys(); i++) {
         fleet.world.run(100_000);
       }
-      assertEquals(SimWorkers.keys(), workers.held(), () -> fleet.tail());
+      assertEquals(SimulatedWorkers.keys(), workers.held(), () -> fleet.tail());
       int before = workers.misses;
       int served = workers.served;
       fleet.world.run(2 * S);
@@ -56,8 +56,8 @@
       assertTrue(missed * 20 < workers.served - served, () -> missed + " missed\n" + fleet.tail());
     }
 
-    SimWorkers.Worker any() {
-      List<SimWorkers.Worker> up =
+    SimulatedWorkers.Worker any() {
+      List<SimulatedWorkers.Worker> up =
           new ArrayList<>(
               workers.workers.values().stream().filter(w -> w.up && !w.draining).toList());
       return up.get(fleet.world.random.nextInt(up.size()));
@@ -80,16 +80,17 @@
             n.thaw();
             n.start();
           });
-      d.workers.hot = d.fleet.world.random.nextInt(SimWorkers.keys() - 4) * SimWorkers.step();
+      d.workers.hot =
+          d.fleet.world.random.nextInt(SimulatedWorkers.keys() - 4) * SimulatedWorkers.step();
       d.fleet.world.run(2 * S);
     }
     d.settles();
   }
 
   private static void trouble(Divided d) {
-    SimNode leader = d.fleet.leader();
-    SimNode any = d.fleet.disks.get(d.fleet.world.random.nextInt(d.fleet.disks.size()));
-    SimNode node = leader == null || d.fleet.world.random.nextBoolean() ? any : leader;
+    SimulatedNode leader = d.fleet.leader();
+    SimulatedNode any = d.fleet.disks.get(d.fleet.world.random.nextInt(d.fleet.disks.size()));
+    SimulatedNode node = leader == null || d.fleet.world.random.nextBoolean() ? any : leader;
     switch (d.fleet.world.random.nextInt(8)) {
       case 0 -> node.kill();
       case 1 -> node.freeze();
@@ -101,7 +102,7 @@
         d.fleet.world.cut(node.address, d.any().address);
       }
       case 6 -> {
-        SimWorkers.Worker w = d.any();
+        SimulatedWorkers.Worker w = d.any();
         w.draining = true;
         d.fleet.world.at(
             3 * S,
@@ -117,19 +118,19 @@
   @Test
   void drainedWorkerHandsItsKeysOver() {
     Divided d = new Divided(31, 4);
-    SimWorkers.Worker w = d.any();
+    SimulatedWorkers.Worker w = d.any();
     assertTrue(d.workers.keysHeldBy(w) > 8);
     w.draining = true;
     d.fleet.world.run(2 * S);
     assertEquals(0, d.workers.keysHeldBy(w), () -> d.fleet.tail());
-    assertEquals(SimWorkers.keys(), d.workers.held());
+    assertEquals(SimulatedWorkers.keys(), d.workers.held());
     d.settles();
   }
 
   @Test
   void hotNeighboursArePulledApartAndColdKeysStay() {
     Divided d = new Divided(32, 6);
-    SimWorkers.Worker owner =
+    SimulatedWorkers.Worker owner =
         d.workers.workers.values().stream().filter(w -> w.holds(0)).findFirst().orElseThrow();
     int before = d.workers.keysHeldBy(owner);
     d.workers.hot = 0;
@@ -139,9 +140,9 @@
             .filter(
                 w ->
                     w.holds(0)
-                        || w.holds(SimWorkers.step())
-                        || w.holds(2 * SimWorkers.step())
-                        || w.holds(3 * SimWorkers.step()))
+                        || w.holds(SimulatedWorkers.step())
+                        || w.holds(2 * SimulatedWorkers.step())
+                        || w.holds(3 * SimulatedWorkers.step()))
             .count();
     assertTrue(holders > 1, () -> "the hot keys are still together\n" + d.fleet.tail());
     assertTrue(
@@ -153,10 +154,10 @@
   @Test
   void crashedWorkersKeysWaitOutTheLongestGrantUnlessAnotherLifeProvesTheEnd() {
     Divided d = new Divided(33, 4);
-    SimWorkers.Worker w = d.any();
+    SimulatedWorkers.Worker w = d.any();
     w.up = false;
     int held = d.workers.held();
-    assertTrue(held < SimWorkers.keys());
+    assertTrue(held < SimulatedWorkers.keys());
     d.fleet.world.run(3 * S);
     assertEquals(held, d.workers.held(), "nobody may have them yet");
     d.workers.add(w.address);
@@ -165,15 +166,15 @@
     // without an owner.
     Set<Integer> owned = new HashSet<>();
     for (int i = 0; i < 6; i++) {
-      for (int k = 0; k < SimWorkers.keys(); k++) {
-        int key = k * SimWorkers.step();
+      for (int k = 0; k < SimulatedWorkers.keys(); k++) {
+        int key = k * SimulatedWorkers.step();
         if (d.workers.workers.values().stream().anyMatch(o -> o.holds(key))) {
           owned.add(key);
         }
       }
       d.fleet.world.run(50_000);
     }
-    assertEquals(SimWorkers.keys(), owned.size(), () -> d.fleet.tail());
+    assertEquals(SimulatedWorkers.keys(), owned.size(), () -> d.fleet.tail());
     d.settles();
   }
 }
--- a/src/test/java/org/otterpond/sim/LinearizabilityCheckerTest.java
+++ b/src/test/java/org/otterpond/simulation/LinearizabilityCheckerTest.java
@@ -1,4 +1,4 @@
-package org.otterpond.sim;
+package org.otterpond.simulation;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertSame;
@@ -8,21 +8,21 @@
 import java.util.List;
 import java.util.Random;
 import org.junit.jupiter.api.Test;
-import org.otterpond.sim.LinearizabilityChecker.Verdict;
+import org.otterpond.simulation.LinearizabilityChecker.Verdict;
 
 /**
  * The history's check itself: on histories made by hand, and against one that tries every order of
  * small ones.
  */
 class LinearizabilityCheckerTest {
-  private static final Order A = Order.replace(0, 1, "a", "");
-  private static final Order B = Order.replace(0, 1, "b", "");
-  private static final Order C = Order.modify(1, 2, "c");
-  private static final Order D = Order.replace(1, 3, "d", "");
+  private static final ConfigurationWrite A = ConfigurationWrite.replace(0, 1, "a", "");
+  private static final ConfigurationWrite B = ConfigurationWrite.replace(0, 1, "b", "");
+  private static final ConfigurationWrite C = ConfigurationWrite.modify(1, 2, "c");
+  private static final ConfigurationWrite D = ConfigurationWrite.replace(1, 3, "d", "");
 
   private final List<Operation> calls = new ArrayList<>();
 
-  private Operation write(Order o, long from, long to, int status) {
+  private Operation write(ConfigurationWrite o, long from, long to, int status) {
     Operation w = new Operation(Operation.Kind.WRITE, "n", o, from);
     w.returned = status == 0 ? Operation.NEVER : to;
     w.status = status;
@@ -157,7 +157,7 @@
 
   /** As Wing and Gong: one of the calls that no other has returned before goes first, and so on. */
   private static boolean someOrder(
-      List<Operation> left, long revision, List<String> content, List<Order> taken) {
+      List<Operation> left, long revision, List<String> content, List<ConfigurationWrite> taken) {
     if (left.stream().allMatch(o -> o.returned == Operation.NEVER)) {
       return true;
     }
@@ -182,7 +182,7 @@
           return true;
         }
       } else if (fits) {
-        List<Order> more = new ArrayList<>(taken);
+        List<ConfigurationWrite> more = new ArrayList<>(taken);
         more.add(o.order);
         if (someOrder(rest, o.order.revision(), o.order.after(content), more)) {
           return true;
@@ -199,7 +199,14 @@
   @Test
   void agreesWithTryingEveryOrderOfSmallHistories() {
     Random r = new Random(5);
-    List<Order> orders = List.of(A, B, C, D, Order.replace(2, 3, "e", ""), Order.modify(3, 4, "f"));
+    List<ConfigurationWrite> orders =
+        List.of(
+            A,
+            B,
+            C,
+            D,
+            ConfigurationWrite.replace(2, 3, "e", ""),
+            ConfigurationWrite.modify(3, 4, "f"));
     int sound = 0;
     for (int i = 0; i < 30_000; i++) {
       calls.clear();
@@ -211,7 +218,7 @@
         long a = moments.remove(r.nextInt(moments.size()));
         long b = moments.remove(r.nextInt(moments.size()));
         if (r.nextInt(3) == 0) {
-          Order o = orders.get(r.nextInt(orders.size()));
+          ConfigurationWrite o = orders.get(r.nextInt(orders.size()));
           List<String> before = o.base() == 0 ? List.of() : List.of(r.nextBoolean() ? "a" : "b");
           read(
               Math.min(a, b), Math.max(a, b), o.revision(), o.after(before).toArray(new String[0]));
--- a/src/test/java/org/otterpond/sim/LongConfigurationTest.java
+++ b/src/test/java/org/otterpond/simulation/LongConfigurationTest.java
@@ -1,4 +1,4 @@
-package org.otterpond.sim;
+package org.otterpond.simulation;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
@@ -7,8 +7,8 @@
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import org.otterpond.signal.Bale;
-import org.otterpond.signal.Flag;
+import org.otterpond.protocol.CompressedPayload;
+import org.otterpond.protocol.WireRecord;
 
 /**
  * Configurations that take seconds to read: nobody is taken for dead meanwhile, and their order is
@@ -52,21 +52,21 @@
         + "]}}";
   }
 
-  private SimFleet founded(long seed, long readingMicros) {
-    SimFleet f = new SimFleet(seed, 4, 4, 1);
+  private SimulatedCluster founded(long seed, long readingMicros) {
+    SimulatedCluster f = new SimulatedCluster(seed, 4, 4, 1);
     f.world.run(9 * S);
     assertNotNull(f.leader(), f::tail);
     f.all.forEach(n -> n.readingMicros = readingMicros);
     return f;
   }
 
-  private void give(SimFleet f, SimNode at, String kind, long base, String text) {
+  private void give(SimulatedCluster f, SimulatedNode at, String kind, long base, String text) {
     at.node.ask(
-        new Flag("ask")
+        new WireRecord("ask")
             .with("op", "write")
             .with("kind", kind)
             .with("base", base)
-            .with("text", Bale.pack(text)),
+            .with("text", CompressedPayload.pack(text)),
         4 * S,
         500_000,
         r -> statuses.add(r == null ? 0 : (int) r.number("status")));
@@ -74,7 +74,7 @@
 
   @Test
   void nobodyIsTakenForDeadWhileItReads() {
-    SimFleet f = founded(631, 3 * S);
+    SimulatedCluster f = founded(631, 3 * S);
     long epoch = f.leader().node.known().epoch();
     f.checker.sent(1);
     give(f, f.world.nodes.get("n1:1"), "replace", 0, whole(1));
@@ -83,7 +83,7 @@
     f.world.run(300_000);
     assertEquals(List.of(200), statuses, f::tail);
     f.world.run(4 * S);
-    for (SimNode n : f.all) {
+    for (SimulatedNode n : f.all) {
       assertEquals(1, n.node.revision(), () -> n.address + "\n" + f.tail());
     }
     // Changes that come while each node still reads the one before.
@@ -94,7 +94,7 @@
     }
     assertEquals(List.of(200, 200, 200, 200), statuses, f::tail);
     f.world.run(12 * S);
-    for (SimNode n : f.all) {
+    for (SimulatedNode n : f.all) {
       assertEquals(4, n.node.revision(), () -> n.address + "\n" + f.tail());
       assertEquals(1_004_000L, n.configuration.route("h1.example", "/p1/x").guardMicros());
     }
@@ -107,11 +107,11 @@
   void primaryThatGoesWhileItReadsTakesNothing() {
     for (long seed = 641; seed <= 644; seed++) {
       statuses.clear();
-      SimFleet f = founded(seed, 600_000);
+      SimulatedCluster f = founded(seed, 600_000);
       f.checker.sent(1);
       give(f, f.world.nodes.get("n1:1"), "replace", 0, whole(1));
       f.world.run(100_000 + f.world.random.nextInt(500_000));
-      SimNode first = f.leader();
+      SimulatedNode first = f.leader();
       if (seed % 2 == 0) {
         first.kill();
       } else {
@@ -123,7 +123,7 @@
       give(f, f.world.nodes.get("n2:1"), "replace", 0, whole(1));
       f.world.run(8 * S);
       assertTrue(statuses.size() == 2 && statuses.get(1) == 200, () -> statuses + "\n" + f.tail());
-      for (SimNode n : f.all) {
+      for (SimulatedNode n : f.all) {
         assertEquals(1, n.node.revision(), () -> n.address + "\n" + f.tail());
       }
       assertEquals(List.of(), f.checker.broken, f::tail);
--- a/src/test/java/org/otterpond/sim/MembershipChecker.java
+++ b/src/test/java/org/otterpond/simulation/MembershipChecker.java
@@ -1,10 +1,10 @@
-package org.otterpond.sim;
+package org.otterpond.simulation;
 
 import java.util.ArrayList;
 import java.util.List;
 import java.util.stream.Stream;
-import org.otterpond.harbour.Berth;
-import org.otterpond.harbour.EpochRecord;
+import org.otterpond.control.state.CoreMember;
+import org.otterpond.control.state.EpochRecord;
 
 /**
  * Looks at each epoch as it begins: the disks of a majority of its members, and of those before,
@@ -14,12 +14,12 @@
 final class MembershipChecker {
   private static final long EVERY = 500;
 
-  private final SimFleet fleet;
-  private final List<SimNode> machines = new ArrayList<>();
+  private final SimulatedCluster fleet;
+  private final List<SimulatedNode> machines = new ArrayList<>();
   private EpochRecord before;
   final List<String> broken = new ArrayList<>();
 
-  MembershipChecker(SimFleet fleet) {
+  MembershipChecker(SimulatedCluster fleet) {
     this.fleet = fleet;
     before = fleet.leader().node.known();
     again();
@@ -32,7 +32,7 @@
 
   /** To be called before a disk is lost too: what it held when the epoch began counts. */
   void look() {
-    SimNode leader = fleet.leader();
+    SimulatedNode leader = fleet.leader();
     if (leader == null || leader.node.known().epoch() <= before.epoch()) {
       return;
     }
@@ -54,7 +54,7 @@
     return a.members().stream().filter(m -> !b.hasMember(m.diskId())).count();
   }
 
-  private long accepted(EpochRecord r, List<Berth> members) {
+  private long accepted(EpochRecord r, List<CoreMember> members) {
     fleet.disks.stream().filter(d -> !machines.contains(d)).forEach(machines::add);
     return members.stream()
         .filter(
@@ -67,7 +67,8 @@
                                     .anyMatch(
                                         f ->
                                             f.kind().equals("accept")
-                                                && f.flag("record").number("epoch") >= r.epoch())))
+                                                && f.nested("record").number("epoch")
+                                                    >= r.epoch())))
         .count();
   }
 }
--- a/src/test/java/org/otterpond/sim/MessageFaultsTest.java
+++ b/src/test/java/org/otterpond/simulation/MessageFaultsTest.java
@@ -1,4 +1,4 @@
-package org.otterpond.sim;
+package org.otterpond.simulation;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -8,24 +8,24 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import org.otterpond.replica.GroupView;
-import org.otterpond.signal.Flag;
+import org.otterpond.protocol.WireRecord;
+import org.otterpond.replication.GroupConfiguration;
 
 /** The message tier as a whole, under faults; each seed its own schedule. */
 class MessageFaultsTest {
   private static final long S = 1_000_000;
 
   private static final class Tier {
-    final SimFleet fleet;
-    final MessageChecker checker;
-    final SimSenders senders;
+    final SimulatedCluster fleet;
+    final MessageInvariantChecker checker;
+    final SimulatedProducers senders;
 
     Tier(long seed, int stores, int faults) {
-      fleet = new SimFleet(seed, 4, 3, faults);
-      checker = new MessageChecker(fleet.world);
-      senders = new SimSenders(fleet, checker);
+      fleet = new SimulatedCluster(seed, 4, 3, faults);
+      checker = new MessageInvariantChecker(fleet.world);
+      senders = new SimulatedProducers(fleet, checker);
       for (int i = 1; i <= stores; i++) {
-        SimNode n = fleet.addStore("s" + i + ":1", checker);
+        SimulatedNode n = fleet.addStore("s" + i + ":1", checker);
         fleet.world.at(fleet.world.random.nextInt(1_500_000), n::start);
       }
       fleet.world.run(10 * S);
@@ -58,24 +58,24 @@
       StringBuilder b = new StringBuilder(fleet.tail()).append("\n");
       for (int p = 0; p < 32; p++) {
         int id = p;
-        boolean served = stores().anyMatch(n -> n.depot.describe(id) != null && n.depot.serves(id));
+        boolean served = stores().anyMatch(n -> n.store.describe(id) != null && n.store.serves(id));
         if (!served) {
           stores()
               .forEach(
-                  n -> b.append(n.address).append(" ").append(n.depot.describe(id)).append("\n"));
+                  n -> b.append(n.address).append(" ").append(n.store.describe(id)).append("\n"));
         }
       }
       return b.toString();
     }
 
-    private java.util.stream.Stream<SimNode> stores() {
-      return fleet.stores.stream().filter(SimNode::up);
+    private java.util.stream.Stream<SimulatedNode> stores() {
+      return fleet.stores.stream().filter(SimulatedNode::up);
     }
 
     /** Every partition has its copies, all on machines that are up. */
     void whole() {
-      SimNode edge = fleet.disks.get(0);
-      for (GroupView v : edge.partitions.values()) {
+      SimulatedNode edge = fleet.disks.get(0);
+      for (GroupConfiguration v : edge.partitions.values()) {
         assertTrue(
             v.members().containsAll(v.wanted()) && v.wanted().size() == 3,
             () -> v + "\n" + fleet.tail());
@@ -99,9 +99,9 @@
   void nothingAcceptedIsLostWhileTwoFailAtOnce(long seed) {
     Tier t = new Tier(seed, 6, 2);
     for (int i = 0; i < 5; i++) {
-      List<SimNode> s = t.fleet.stores;
-      SimNode a = s.get(t.fleet.world.random.nextInt(s.size()));
-      SimNode b = s.get(t.fleet.world.random.nextInt(s.size()));
+      List<SimulatedNode> s = t.fleet.stores;
+      SimulatedNode a = s.get(t.fleet.world.random.nextInt(s.size()));
+      SimulatedNode b = s.get(t.fleet.world.random.nextInt(s.size()));
       trouble(t, a);
       t.fleet.world.run(t.fleet.world.random.nextInt(900_000));
       if (a != b) {
@@ -120,7 +120,7 @@
     t.whole();
   }
 
-  private static void trouble(Tier t, SimNode n) {
+  private static void trouble(Tier t, SimulatedNode n) {
     switch (t.fleet.world.random.nextInt(5)) {
       case 0 -> n.kill();
       case 1 -> n.losePower();
@@ -144,7 +144,7 @@
   void allLosePowerAndNothingAcceptedIsLost(long seed) {
     Tier t = new Tier(seed, 5, 2);
     t.fleet.world.run(2 * S);
-    t.fleet.all.forEach(SimNode::losePower);
+    t.fleet.all.forEach(SimulatedNode::losePower);
     t.fleet.world.run(S);
     t.settle();
   }
@@ -155,10 +155,10 @@
     Tier t = new Tier(seed, 6, 2);
     t.checker.calm = true;
     String name = "s" + (seed % 3 + 1) + ":1";
-    SimNode edge = t.fleet.disks.get(0);
+    SimulatedNode edge = t.fleet.disks.get(0);
     long[] status = {0};
     edge.node.ask(
-        new Flag("ask").with("op", "retire").with("node", name),
+        new WireRecord("ask").with("op", "retire").with("node", name),
         S,
         250_000,
         r -> status[0] = r == null ? 0 : r.number("status"));
@@ -166,14 +166,14 @@
     for (int i = 0; i < 40 && !done[0]; i++) {
       t.fleet.world.run(250_000);
       edge.node.ask(
-          new Flag("ask").with("op", "retired").with("node", name),
+          new WireRecord("ask").with("op", "retired").with("node", name),
           S,
           250_000,
           r -> done[0] |= r != null && r.truth("done"));
     }
     assertEquals(200, status[0]);
     assertTrue(done[0], () -> "not emptied\n" + t.fleet.tail());
-    SimNode gone = t.fleet.world.nodes.get(name);
+    SimulatedNode gone = t.fleet.world.nodes.get(name);
     gone.losePower();
     t.fleet.stores.remove(gone);
     t.fleet.all.remove(gone);
@@ -190,12 +190,12 @@
   void leavingMachineHandsOverAndNothingRunsAgain(long seed) {
     Tier t = new Tier(seed, 6, 2);
     t.checker.calm = true;
-    SimNode s = t.fleet.stores.get((int) (seed % 6));
-    for (int i = 0; i < 30 && !s.depot.handedOver(); i++) {
-      s.perform(s.depot::retire);
+    SimulatedNode s = t.fleet.stores.get((int) (seed % 6));
+    for (int i = 0; i < 30 && !s.store.handedOver(); i++) {
+      s.perform(s.store::retire);
       t.fleet.world.run(100_000);
     }
-    assertTrue(s.depot.handedOver(), () -> t.fleet.tail());
+    assertTrue(s.store.handedOver(), () -> t.fleet.tail());
     t.fleet.world.run(200_000);
     s.kill();
     t.fleet.world.run(2 * S);
@@ -207,19 +207,19 @@
   void tooFewLeftOrUnknownIsSaid() {
     Tier t = new Tier(41, 3, 2);
     long[] status = {0, 0, 0};
-    SimNode edge = t.fleet.disks.get(0);
+    SimulatedNode edge = t.fleet.disks.get(0);
     edge.node.ask(
-        new Flag("ask").with("op", "retire").with("node", "s1:1"),
+        new WireRecord("ask").with("op", "retire").with("node", "s1:1"),
         S,
         250_000,
         r -> status[0] = r.number("status"));
     edge.node.ask(
-        new Flag("ask").with("op", "retire").with("node", "nobody"),
+        new WireRecord("ask").with("op", "retire").with("node", "nobody"),
         S,
         250_000,
         r -> status[1] = r.number("status"));
     edge.node.ask(
-        new Flag("ask").with("op", "retired").with("node", "s2:1"),
+        new WireRecord("ask").with("op", "retired").with("node", "s2:1"),
         S,
         250_000,
         r -> status[2] = r.number("status"));
@@ -238,7 +238,10 @@
     t.settle();
     long held =
         t.fleet.disks.get(0).partitions.values().stream()
-            .filter(v -> v.members().stream().anyMatch(m -> GroupView.addressOf(m).equals("s6:1")))
+            .filter(
+                v ->
+                    v.members().stream()
+                        .anyMatch(m -> GroupConfiguration.addressOf(m).equals("s6:1")))
             .count();
     assertTrue(held >= 8, () -> held + " partitions\n" + t.fleet.tail());
     t.whole();
@@ -252,7 +255,7 @@
       Tier t = new Tier(seed, 4, 2);
       t.fleet.stores.forEach(n -> n.storeDisk.lying = true);
       t.fleet.world.run(2 * S);
-      t.fleet.all.forEach(SimNode::losePower);
+      t.fleet.all.forEach(SimulatedNode::losePower);
       t.fleet.world.run(S);
       try {
         t.settle();
--- a/src/test/java/org/otterpond/sim/ReplicaGroupTest.java
+++ b/src/test/java/org/otterpond/simulation/ReplicaGroupTest.java
@@ -1,4 +1,4 @@
-package org.otterpond.sim;
+package org.otterpond.simulation;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
@@ -9,9 +9,9 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import org.otterpond.replica.GroupTimes;
-import org.otterpond.replica.GroupView;
-import org.otterpond.signal.Flag;
+import org.otterpond.protocol.WireRecord;
+import org.otterpond.replication.GroupConfiguration;
+import org.otterpond.replication.ReplicaGroupTimeouts;
 
 /**
  * The replica group against its source: one history, one primary, nothing acknowledged lost; and
@@ -20,10 +20,10 @@
 class ReplicaGroupTest {
   private static final long S = 1_000_000;
 
-  private static void troubles(SimGroup g) {
-    List<SimGroup.Member> all = new ArrayList<>(g.members.values());
+  private static void troubles(SimulatedReplicaGroup g) {
+    List<SimulatedReplicaGroup.Member> all = new ArrayList<>(g.members.values());
     for (int i = 0; i < 8; i++) {
-      SimGroup.Member m = all.get(g.world.random.nextInt(all.size()));
+      SimulatedReplicaGroup.Member m = all.get(g.world.random.nextInt(all.size()));
       switch (g.world.random.nextInt(6)) {
         case 0 -> m.kill(false);
         case 1 -> m.kill(true);
@@ -49,7 +49,7 @@
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16, 17, 18, 19, 20})
   void oneHistoryThroughTroubles(long seed) {
-    SimGroup g = new SimGroup(seed, seed % 2 == 0 ? 3 : 4);
+    SimulatedReplicaGroup g = new SimulatedReplicaGroup(seed, seed % 2 == 0 ? 3 : 4);
     g.world.run(2 * S);
     troubles(g);
     assertEquals(List.of(), g.broken, () -> String.join("\n", g.world.log));
@@ -59,7 +59,7 @@
 
   @Test
   void quietGroupAcknowledgesEverything() {
-    SimGroup g = new SimGroup(101, 3);
+    SimulatedReplicaGroup g = new SimulatedReplicaGroup(101, 3);
     g.world.run(4 * S);
     g.settle();
     assertEquals(List.of(), g.broken);
@@ -68,13 +68,13 @@
   }
 
   private interface Break {
-    void of(SimGroup g);
+    void of(SimulatedReplicaGroup g);
   }
 
   private static int noticed(Break b) {
     int noticed = 0;
     for (long seed = 201; seed <= 216; seed++) {
-      SimGroup g = new SimGroup(seed, 3);
+      SimulatedReplicaGroup g = new SimulatedReplicaGroup(seed, 3);
       b.of(g);
       g.world.run(2 * S);
       troubles(g);
@@ -98,10 +98,10 @@
   private static int wakingPrimariesThatServeBesideAnother(boolean fromTheAnswer) {
     int noticed = 0;
     for (long seed = 401; seed <= 520; seed++) {
-      SimGroup g = new SimGroup(seed, 3);
+      SimulatedReplicaGroup g = new SimulatedReplicaGroup(seed, 3);
       g.leaseFromTheAnswer = fromTheAnswer;
       g.world.run(S + g.world.random.nextInt(50_000));
-      SimGroup.Member first = g.members.values().iterator().next();
+      SimulatedReplicaGroup.Member first = g.members.values().iterator().next();
       first.frozen = true;
       g.world.run(900_000 + g.world.random.nextInt(200_000));
       first.thaw();
@@ -113,7 +113,7 @@
 
   @Test
   void disksThatAnswerBeforeTheyHaveWrittenAreNoticed() {
-    SimGroup g = new SimGroup(301, 3);
+    SimulatedReplicaGroup g = new SimulatedReplicaGroup(301, 3);
     g.disksLie = true;
     g.world.run(2 * S);
     g.members.values().forEach(m -> m.kill(true));
@@ -125,7 +125,7 @@
   @ParameterizedTest
   @ValueSource(longs = {31, 32, 33, 34})
   void allLosePowerAndNothingAcknowledgedIsLost(long seed) {
-    SimGroup g = new SimGroup(seed, 3);
+    SimulatedReplicaGroup g = new SimulatedReplicaGroup(seed, 3);
     g.world.run(2 * S + g.world.random.nextInt(100_000));
     g.members.values().forEach(m -> m.kill(true));
     g.world.run(S);
@@ -139,15 +139,17 @@
    */
   @Test
   void lateWordOfTheVersionInForceDoesNotBringBackWhoIsNoLongerWanted() {
-    SimGroup g = new SimGroup(35, 3);
+    SimulatedReplicaGroup g = new SimulatedReplicaGroup(35, 3);
     g.world.run(2 * S);
-    for (SimGroup.Member m : g.members.values()) {
-      GroupView old = m.group.view();
+    for (SimulatedReplicaGroup.Member m : g.members.values()) {
+      GroupConfiguration old = m.group.view();
       List<String> wanted = List.of(old.primary(), "newcomer@x:1");
       m.group.learn(old.wanting(wanted));
       m.group.onMessage(
           old.primary(),
-          new Flag("g.view").with("group", old.group()).with("view", old.toFlag("view")));
+          new WireRecord("g.view")
+              .with("group", old.group())
+              .with("view", old.toWireRecord("view")));
       assertEquals(wanted, m.group.view().wanted());
     }
   }
@@ -155,8 +157,10 @@
   @Test
   void graceBelowTheLeaseIsRefused() {
     assertThrows(
-        IllegalArgumentException.class, () -> new GroupTimes(100_000, 500_000, 505_000, 1, 1));
+        IllegalArgumentException.class,
+        () -> new ReplicaGroupTimeouts(100_000, 500_000, 505_000, 1, 1));
     assertThrows(
-        IllegalArgumentException.class, () -> new GroupTimes(200_000, 500_000, 600_000, 1, 1));
+        IllegalArgumentException.class,
+        () -> new ReplicaGroupTimeouts(200_000, 500_000, 600_000, 1, 1));
   }
 }
