--- a/src/test/java/org/otterpond/sim/SecondLossTest.java
+++ b/src/test/java/org/otterpond/simulation/SecondLossTest.java
@@ -1,4 +1,4 @@
-package org.otterpond.sim;
+package org.otterpond.simulation;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -13,8 +13,8 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
-import org.otterpond.harbour.EpochRecord;
-import org.otterpond.harbour.LossTolerance;
+import org.otterpond.control.state.EpochRecord;
+import org.otterpond.control.state.FaultTolerance;
 
 /**
  * Losses that follow each other as soon as they may: what was lost, repaired, replaced or left, and
@@ -28,9 +28,9 @@
   };
   private static final Map<String, String> REGIONS = Map.of("a", "r", "b", "r", "c", "s", "d", "t");
 
-  private static SimFleet fleet(
-      long seed, int disks, LossTolerance losses, IntFunction<String> zoneOf) {
-    SimFleet f = new SimFleet(seed, disks, 2, losses.machines());
+  private static SimulatedCluster fleet(
+      long seed, int disks, FaultTolerance losses, IntFunction<String> zoneOf) {
+    SimulatedCluster f = new SimulatedCluster(seed, disks, 2, losses.machines());
     for (int i = 0; i < f.all.size(); i++) {
       f.all.get(i).zone = zoneOf.apply(i);
       f.all.get(i).losses = losses;
@@ -42,20 +42,20 @@
     return f;
   }
 
-  private static SimFleet fleet(long seed, int disks, int machines) {
-    return fleet(seed, disks, LossTolerance.ofMachines(machines), i -> "z");
+  private static SimulatedCluster fleet(long seed, int disks, int machines) {
+    return fleet(seed, disks, FaultTolerance.ofMachines(machines), i -> "z");
   }
 
-  private static EpochRecord record(SimFleet f) {
+  private static EpochRecord record(SimulatedCluster f) {
     assertNotNull(f.leader(), () -> "no leader\n" + f.tail());
     return f.leader().node.known();
   }
 
-  private static SimNode node(SimFleet f, String diskId) {
+  private static SimulatedNode node(SimulatedCluster f, String diskId) {
     return f.disks.stream().filter(d -> d.disk.id.equals(diskId)).findFirst().orElse(null);
   }
 
-  private static SimNode backup(SimFleet f) {
+  private static SimulatedNode backup(SimulatedCluster f) {
     return node(f, record(f).backups().get(0).diskId());
   }
 
@@ -63,7 +63,7 @@
    * A leader, a group of live copies that is whole, a majority of live members, and all that was
    * acknowledged.
    */
-  private static void whole(SimFleet f, long within, int copies) {
+  private static void whole(SimulatedCluster f, long within, int copies) {
     f.world.run(within);
     EpochRecord r = record(f);
     long live =
@@ -87,7 +87,7 @@
     assertEquals(List.of(), f.checker.broken, f::tail);
   }
 
-  private static void remove(SimFleet f, SimNode gone) {
+  private static void remove(SimulatedCluster f, SimulatedNode gone) {
     gone.losePower();
     f.all.remove(gone);
     f.disks.remove(gone);
@@ -95,8 +95,8 @@
     f.world.at(10_000, () -> f.world.nodes.remove(gone.address));
   }
 
-  private static SimNode join(SimFleet f, String address, String zone) {
-    SimNode n = f.add(address, true);
+  private static SimulatedNode join(SimulatedCluster f, String address, String zone) {
+    SimulatedNode n = f.add(address, true);
     n.zone = zone;
     n.losses = f.disks.get(0).losses;
     f.disks.add(n);
@@ -104,7 +104,7 @@
     return n;
   }
 
-  private static long epochs(SimFleet f) {
+  private static long epochs(SimulatedCluster f) {
     return f.world.log.stream().filter(l -> l.contains("event=epoch_began")).count();
   }
 
@@ -112,10 +112,10 @@
   @CsvSource({"3,1,400", "4,1,430", "5,2,460", "8,2,490"})
   void eachLossIsBorneAsSoonAsItMayCome(int disks, int machines, long first) {
     for (long seed = first; seed < first + 30; seed++) {
-      SimFleet f = fleet(seed, disks, machines);
+      SimulatedCluster f = fleet(seed, disks, machines);
       // Until when each place in the core counts as lost.
       Map<Integer, Long> lost = new HashMap<>();
-      SimNode[] last = {null};
+      SimulatedNode[] last = {null};
       int[] made = {0};
       MembershipChecker epochs = new MembershipChecker(f);
       for (int i = 0; i < 5; i++) {
@@ -134,7 +134,7 @@
     }
   }
 
-  private static long pause(SimFleet f) {
+  private static long pause(SimulatedCluster f) {
     return PAUSES[f.world.random.nextInt(PAUSES.length)] + f.world.random.nextInt(60_000);
   }
 
@@ -142,15 +142,16 @@
    * Strikes one machine if one more loss is to be borne, and sees to its return or to its
    * successor.
    */
-  private static void strike(SimFleet f, Map<Integer, Long> lost, SimNode[] last, int[] made) {
+  private static void strike(
+      SimulatedCluster f, Map<Integer, Long> lost, SimulatedNode[] last, int[] made) {
     lost.values().removeIf(t -> t <= f.world.now());
-    List<SimNode> up =
+    List<SimulatedNode> up =
         f.disks.stream().filter(d -> d.up() && !lost.containsKey(d.hashCode())).toList();
-    SimNode leader = f.leader();
+    SimulatedNode leader = f.leader();
     if (lost.size() >= leaderLosses(f) || up.isEmpty()) {
       return;
     }
-    SimNode victim =
+    SimulatedNode victim =
         switch (f.world.random.nextInt(4)) {
           case 0 -> leader;
           case 1 -> leader == null || record(f).backups().isEmpty() ? null : backup(f);
@@ -158,7 +159,7 @@
           case 2 -> last[0];
           default -> null;
         };
-    SimNode v =
+    SimulatedNode v =
         victim != null && up.contains(victim) ? victim : up.get(f.world.random.nextInt(up.size()));
     int how = f.world.random.nextInt(5);
     long back = pause(f);
@@ -191,12 +192,12 @@
     f.world.at(back, returns);
   }
 
-  private static int leaderLosses(SimFleet f) {
+  private static int leaderLosses(SimulatedCluster f) {
     return f.disks.get(0).losses.machines();
   }
 
   /** As the daemon does: it ends once it is needed no more, or when its time is up. */
-  private static void end(SimFleet f, SimNode v, long by, Runnable then) {
+  private static void end(SimulatedCluster f, SimulatedNode v, long by, Runnable then) {
     f.world.at(
         50_000,
         () -> {
@@ -230,9 +231,9 @@
 
   private static void noEpochOfTwo(boolean grows, boolean exchanges) {
     for (long offset = 0; offset < 12_000; offset += 500) {
-      SimFleet f = fleet(620, grows ? 3 : 5, 1);
-      SimNode primary = f.leader();
-      SimNode backup = backup(f);
+      SimulatedCluster f = fleet(620, grows ? 3 : 5, 1);
+      SimulatedNode primary = f.leader();
+      SimulatedNode backup = backup(f);
       if (exchanges) {
         remove(
             f, f.disks.stream().filter(d -> d != primary && d != backup).findFirst().orElseThrow());
@@ -250,7 +251,7 @@
         f.world.run(100);
       }
       f.world.run(offset);
-      SimNode with =
+      SimulatedNode with =
           grows && !exchanges
               ? backup
               : f.disks.stream().filter(d -> d != primary && d != backup).findFirst().orElseThrow();
@@ -274,12 +275,12 @@
   @ParameterizedTest
   @CsvSource({"1,0", "0,1"})
   void groupAndMajorityOutliveTheLossOfAZoneOrARegion(int zones, int regions) {
-    LossTolerance losses = new LossTolerance(1, zones, regions, REGIONS);
+    FaultTolerance losses = new FaultTolerance(1, zones, regions, REGIONS);
     for (long seed = 520; seed < 530; seed++) {
-      SimFleet f = fleet(seed, 8, losses, i -> "aabbccdd".substring(i % 8, i % 8 + 1));
+      SimulatedCluster f = fleet(seed, 8, losses, i -> "aabbccdd".substring(i % 8, i % 8 + 1));
       for (int round = 0; round < 3; round++) {
         String zone = f.leader().zone;
-        List<SimNode> gone =
+        List<SimulatedNode> gone =
             f.disks.stream()
                 .filter(
                     d ->
@@ -287,10 +288,10 @@
                             ? REGIONS.get(d.zone).equals(REGIONS.get(zone))
                             : d.zone.equals(zone))
                 .toList();
-        gone.forEach(SimNode::losePower);
+        gone.forEach(SimulatedNode::losePower);
         gone.forEach(d -> d.disk.wipe());
         whole(f, 3 * S, 1);
-        gone.forEach(SimNode::start);
+        gone.forEach(SimulatedNode::start);
         f.world.run(SYNC);
       }
       long before = epochs(f);
@@ -301,11 +302,11 @@
 
   @Test
   void membersAreSpreadAsFarAsTheMachinesAllowAndElseTheCoreSaysSo() {
-    LossTolerance losses = new LossTolerance(1, 1, 0, REGIONS);
-    SimFleet crowded = fleet(540, 5, losses, i -> i < 3 ? "a" : i == 3 ? "b" : "c");
+    FaultTolerance losses = new FaultTolerance(1, 1, 0, REGIONS);
+    SimulatedCluster crowded = fleet(540, 5, losses, i -> i < 3 ? "a" : i == 3 ? "b" : "c");
     assertEquals(3, record(crowded).members().size());
     assertFalse(crowded.world.log.stream().anyMatch(l -> l.contains("core_not_spread")));
-    SimFleet f = fleet(541, 4, losses, i -> "a");
+    SimulatedCluster f = fleet(541, 4, losses, i -> "a");
     long before = epochs(f);
     f.world.run(60 * S);
     assertEquals(before, epochs(f));
@@ -324,8 +325,9 @@
 
   @Test
   void groupIsFormedAnewOnceItCanSpan() {
-    SimFleet f = fleet(545, 3, new LossTolerance(1, 1, 0, REGIONS), i -> i == 2 ? "b" : "a");
-    SimNode other = f.leader().zone.equals("b") ? f.leader() : backup(f);
+    SimulatedCluster f =
+        fleet(545, 3, new FaultTolerance(1, 1, 0, REGIONS), i -> i == 2 ? "b" : "a");
+    SimulatedNode other = f.leader().zone.equals("b") ? f.leader() : backup(f);
     assertEquals("b", other.zone, f::tail);
     other.kill();
     f.world.run(2 * S);
@@ -340,7 +342,7 @@
 
   @Test
   void coreOfMoreThanNineDisksReplacesItsDead() {
-    SimFleet f = fleet(550, 12, 2);
+    SimulatedCluster f = fleet(550, 12, 2);
     for (int i = 0; i < 6; i++) {
       assertEquals(9, record(f).members().size(), f::tail);
       remove(f, i % 2 == 0 ? f.leader() : backup(f));
@@ -351,7 +353,7 @@
 
   @Test
   void coreOfOneGrows() {
-    SimFleet f = fleet(555, 1, 1);
+    SimulatedCluster f = fleet(555, 1, 1);
     join(f, "e1:1", "z");
     join(f, "e2:1", "z");
     f.world.run(SYNC);
@@ -362,8 +364,8 @@
   /** Its one notice comes amid a cut; and later, while it still runs, the group loses another. */
   @Test
   void leaverIsNeededUntilAnotherHoldsItsCopyAndIsNotTakenAgain() {
-    SimFleet f = fleet(560, 5, 1);
-    SimNode leaver = backup(f);
+    SimulatedCluster f = fleet(560, 5, 1);
+    SimulatedNode leaver = backup(f);
     f.world.cut(leaver.address, f.leader().address);
     leaver.perform(() -> leaver.node.retire());
     f.world.run(100_000);
@@ -372,7 +374,7 @@
     f.world.run(S);
     assertFalse(leaver.node.needed(), f::tail);
     for (int i = 0; i < 2; i++) {
-      SimNode next = backup(f);
+      SimulatedNode next = backup(f);
       next.kill();
       f.world.run(SYNC);
       assertFalse(record(f).inGroup(leaver.disk.id), f::tail);
@@ -387,8 +389,8 @@
    */
   @Test
   void leavingPrimaryIsFollowedThoughItsNoticeIsLost() {
-    SimFleet f = fleet(562, 5, 2);
-    SimNode leaver = f.leader();
+    SimulatedCluster f = fleet(562, 5, 2);
+    SimulatedNode leaver = f.leader();
     f.world.cutOff(leaver.address);
     leaver.perform(() -> leaver.node.retire());
     f.world.run(20_000);
@@ -402,9 +404,9 @@
   @Test
   void leavingPrimaryWhoseSuccessorDiesMakesAnother() {
     for (long seed = 565; seed < 575; seed++) {
-      SimFleet f = fleet(seed, 4, 1);
-      SimNode leaver = f.leader();
-      SimNode heir = backup(f);
+      SimulatedCluster f = fleet(seed, 4, 1);
+      SimulatedNode leaver = f.leader();
+      SimulatedNode heir = backup(f);
       leaver.perform(() -> leaver.node.retire());
       f.world.run(f.world.random.nextInt(8_000));
       heir.losePower();
@@ -424,12 +426,12 @@
    */
   @Test
   void memberThatAnswersLateStaysOne() {
-    SimFleet f = fleet(600, 4, 1);
+    SimulatedCluster f = fleet(600, 4, 1);
     join(f, "e1:1", "z");
     join(f, "e2:1", "z");
     f.world.run(SYNC);
     assertEquals(6, record(f).members().size(), f::tail);
-    SimNode late =
+    SimulatedNode late =
         f.disks.stream().filter(d -> !record(f).inGroup(d.disk.id)).findFirst().orElseThrow();
     f.leader().kill();
     f.world.cutOff(late.address);
@@ -444,8 +446,8 @@
 
   @Test
   void newcomerThatDiesAsItJoinsHoldsNobodyUp() {
-    SimFleet f = fleet(580, 4, 1);
-    SimNode fresh = join(f, "e1:1", "z");
+    SimulatedCluster f = fleet(580, 4, 1);
+    SimulatedNode fresh = join(f, "e1:1", "z");
     while (f.world.log.stream().noneMatch(l -> l.contains("event=core_change"))) {
       f.world.run(100);
     }
@@ -461,7 +463,7 @@
   @Test
   void successorTakesThePlaceOfTheDead() {
     for (long seed = 590; seed < 600; seed++) {
-      SimFleet f = fleet(seed, 3, 1);
+      SimulatedCluster f = fleet(seed, 3, 1);
       remove(
           f,
           f.disks.stream()
--- a/src/test/java/org/otterpond/sim/SimulationTest.java
+++ b/src/test/java/org/otterpond/simulation/SimulationTest.java
@@ -1,4 +1,4 @@
-package org.otterpond.sim;
+package org.otterpond.simulation;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -21,7 +21,7 @@
  */
 class SimulationTest {
   private static Schedule drawn(long seed, int core, int faults) {
-    return new ScheduleMaker(core, faults, 4, 0, 20, EnumSet.allOf(Fault.Kind.class), false)
+    return new ScheduleGenerator(core, faults, 4, 0, 20, EnumSet.allOf(Fault.Kind.class), false)
         .make(seed);
   }
 
@@ -33,14 +33,14 @@
     return new Fault(kind, at, length, machine, 3);
   }
 
-  private static boolean breaks(Outcome o, String sort) {
+  private static boolean breaks(ScheduleOutcome o, String sort) {
     return o.breaches().stream().anyMatch(b -> b.startsWith(sort));
   }
 
   @ParameterizedTest
   @CsvSource({"8001, 5, 1", "8002, 5, 1", "7001, 4, 1", "9001, 8, 2", "9002, 8, 2"})
   void drawnScheduleIsSound(long seed, int core, int faults) {
-    Outcome o = new Simulation(drawn(seed, core, faults)).run();
+    ScheduleOutcome o = new Simulation(drawn(seed, core, faults)).run();
     assertEquals(List.of(), o.breaches());
     assertTrue(
         o.confirmed() > 20 && o.refused() > 20 && o.grants() > 100 && o.leavings() > 3,
@@ -60,14 +60,14 @@
   void lyingDisksAreNoticed() {
     Schedule s = written(fault(Fault.Kind.POWER, 6_000, 500, Fault.ALL));
     assertEquals(List.of(), new Simulation(s).run().breaches());
-    Outcome broken = new Simulation(s).run(f -> f.disks.forEach(d -> d.disk.lying = true));
+    ScheduleOutcome broken = new Simulation(s).run(f -> f.disks.forEach(d -> d.disk.lying = true));
     assertTrue(breaks(broken, "history:"), () -> broken.breaches().toString());
   }
 
   /** More disks are wiped at once than the core was to bear. */
   @Test
   void lossOfTheWholeGroupIsNoticed() {
-    Outcome broken =
+    ScheduleOutcome broken =
         new Simulation(written())
             .run(
                 f ->
@@ -75,7 +75,7 @@
                         5_000_000,
                         () -> {
                           String backup = f.leader().node.known().backups().get(0).address();
-                          for (SimNode n : List.of(f.leader(), f.world.nodes.get(backup))) {
+                          for (SimulatedNode n : List.of(f.leader(), f.world.nodes.get(backup))) {
                             n.losePower();
                             n.disk.wipe();
                           }
@@ -85,7 +85,7 @@
 
   @Test
   void noMoreAreLostAtOnceThanAllowed() {
-    Losses l = new Losses(1);
+    FaultBudget l = new FaultBudget(1);
     assertTrue(l.take("a", 0, 1_000_000));
     assertTrue(l.take("a", 500_000, 1_000_000), "the same machine again");
     assertFalse(l.take("b", 5_400_000, 1));
@@ -103,7 +103,7 @@
     }
     Schedule failing = written().with(many, 30);
     Schedule least =
-        new Shrinker(
+        new ScheduleShrinker(
                 s ->
                     s.seconds() > 12
                         && s.entries().stream()
@@ -118,18 +118,18 @@
     assertEquals(15, least.seconds());
   }
 
-  private static List<Integer> released(SimLink link, long now, long seed) {
+  private static List<Integer> released(SimulatedLink link, long now, long seed) {
     return link.release(now, new Random(seed)).stream().map(l -> (int) l.bytes()[0]).toList();
   }
 
   @Test
   void shortHoldDeliversAllInOrderAndLaterMessagesBehind() {
-    SimLink link = new SimLink();
+    SimulatedLink link = new SimulatedLink();
     link.hold(0);
     long first = link.nextNumber();
     link.keep(link.nextNumber(), new byte[] {2}, 10);
     link.keep(first, new byte[] {1}, 20);
-    List<SimLink.Late> late = link.release(500_000, new Random(1));
+    List<SimulatedLink.Late> late = link.release(500_000, new Random(1));
     assertEquals(List.of(1, 2), late.stream().map(l -> (int) l.bytes()[0]).toList());
     assertTrue(link.arrival(500_000, 1) > 500_000 + late.get(1).delay());
     assertFalse(link.wasReset());
@@ -140,7 +140,7 @@
     boolean part = false;
     boolean reset = false;
     for (long seed = 0; seed < 40; seed++) {
-      SimLink link = new SimLink();
+      SimulatedLink link = new SimulatedLink();
       link.hold(0);
       for (byte i = 1; i <= 3; i++) {
         link.keep(link.nextNumber(), new byte[] {i}, i);
@@ -160,7 +160,7 @@
   void wakingProcessReadsEachConnectionInItsOrderAndSocketsApart() {
     for (long seed = 0; seed < 20; seed++) {
       boolean socketsFirst = seed % 2 == 0;
-      FrozenTasks tasks = new FrozenTasks();
+      PausedTasks tasks = new PausedTasks();
       StringBuilder out = new StringBuilder();
       for (String s : List.of("a1", "b1", "t1", "a2", "t2", "b2")) {
         tasks.add(s.startsWith("t") ? null : s.substring(0, 1), () -> out.append(s));
@@ -202,7 +202,7 @@
 
   @Test
   void narrowLinkTakesItsTime() {
-    SimFleet f = new SimFleet(5, 3, 2, 1);
+    SimulatedCluster f = new SimulatedCluster(5, 3, 2, 1);
     f.world.width("n1:1", 60_000);
     f.world.run(9_000_000);
     long[] at = {0};
@@ -212,11 +212,11 @@
     while (padding.length() < 40_000) {
       padding.append(Long.toString(r.nextLong() >>> 1, 36));
     }
-    History history = new History(f.world::now);
-    OperatorCalls calls = new OperatorCalls(f, history, r, 0, 9);
+    OperationHistory history = new OperationHistory(f.world::now);
+    OperatorClient calls = new OperatorClient(f, history, r, 0, 9);
     f.checker.sent(1);
     long sent = f.world.now();
-    calls.send(Order.replace(0, 1, "wide", padding.toString()), 3);
+    calls.send(ConfigurationWrite.replace(0, 1, "wide", padding.toString()), 3);
     f.world.run(30_000_000);
     assertTrue(at[0] - sent > 400_000 && at[0] - sent < 2_000_000, "after " + (at[0] - sent));
   }
--- a/src/test/java/org/otterpond/logbook/NamesAfterPowerLossTest.java
+++ b/src/test/java/org/otterpond/storage/DirectoryEntriesAfterPowerLossTest.java
@@ -1,4 +1,4 @@
-package org.otterpond.logbook;
+package org.otterpond.storage;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
@@ -11,32 +11,32 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import org.otterpond.signal.Flag;
+import org.otterpond.protocol.WireRecord;
 
 /**
  * What the journals hold after a loss of power that keeps or loses each unsynced name by itself.
  */
-class NamesAfterPowerLossTest {
+class DirectoryEntriesAfterPowerLossTest {
   @TempDir private Path tmp;
-  private ForgetfulFolder folder;
+  private UnsyncedDirectory folder;
 
   @BeforeEach
   void make() throws Exception {
-    folder = new ForgetfulFolder(Files.createDirectory(tmp.resolve("data")));
+    folder = new UnsyncedDirectory(Files.createDirectory(tmp.resolve("data")));
   }
 
-  private static Flag record(String n) {
-    return new Flag("r").with("n", n);
+  private static WireRecord record(String n) {
+    return new WireRecord("r").with("n", n);
   }
 
-  private static List<Flag> records(List<String> names) {
-    return names.stream().map(NamesAfterPowerLossTest::record).toList();
+  private static List<WireRecord> records(List<String> names) {
+    return names.stream().map(DirectoryEntriesAfterPowerLossTest::record).toList();
   }
 
   /** After every loss of power that can be, the journal has this identity and these records. */
   private void holds(List<String> names) throws Exception {
     for (Path p : folder.afterLossesOfPower(tmp)) {
-      List<Flag> read = JournalReading.all(p);
+      List<WireRecord> read = WriteAheadLogReader.all(p);
       assertTrue(!read.isEmpty(), () -> p + " looks blank");
       assertEquals("disk-1", read.get(0).text("disk"));
       assertEquals(names, read.subList(1, read.size()).stream().map(f -> f.text("n")).toList());
@@ -45,14 +45,14 @@
 
   @Test
   void rotatedJournalIsThereWhicheverNamesAreLost() throws Exception {
-    Logbook l = new Logbook(folder);
+    WriteAheadLog l = new WriteAheadLog(folder);
     l.open();
     l.rotate("disk-1", List.of());
     holds(List.of());
     List<String> names = new ArrayList<>();
     for (int i = 0; i < 4; i++) {
       names.add("a" + i);
-      l.append(List.of(Logbook.frame(record("a" + i))));
+      l.append(List.of(WriteAheadLog.frame(record("a" + i))));
       holds(names);
       l.rotate("disk-1", records(names));
       holds(names);
@@ -61,17 +61,17 @@
 
   @Test
   void newFileWhoseFolderIsNotSyncedCountsForNothing() throws Exception {
-    Logbook l = new Logbook(folder);
+    WriteAheadLog l = new WriteAheadLog(folder);
     l.open();
     l.rotate("disk-1", List.of());
-    l.append(List.of(Logbook.frame(record("a"))));
+    l.append(List.of(WriteAheadLog.frame(record("a"))));
     folder.failing = true;
-    assertThrows(LogbookException.class, () -> l.rotate("disk-1", records(List.of("a"))));
-    assertThrows(LogbookException.class, () -> l.append(List.of(Logbook.frame(record("b")))));
+    assertThrows(StorageException.class, () -> l.rotate("disk-1", records(List.of("a"))));
+    assertThrows(StorageException.class, () -> l.append(List.of(WriteAheadLog.frame(record("b")))));
     holds(List.of("a"));
     folder.failing = false;
     l.rotate("disk-1", records(List.of("a", "c")));
-    l.append(List.of(Logbook.frame(record("d"))));
+    l.append(List.of(WriteAheadLog.frame(record("d"))));
     holds(List.of("a", "c", "d"));
   }
 
@@ -81,25 +81,26 @@
    */
   @Test
   void leftoverOfAFailedRotationStaysAwayAfterARestart() throws Exception {
-    Logbook l = new Logbook(folder);
+    WriteAheadLog l = new WriteAheadLog(folder);
     l.open();
     l.rotate("disk-1", List.of());
     folder.failing = true;
-    assertThrows(LogbookException.class, () -> l.rotate("disk-1", List.of()));
-    Logbook refused = new Logbook(folder);
+    assertThrows(StorageException.class, () -> l.rotate("disk-1", List.of()));
+    WriteAheadLog refused = new WriteAheadLog(folder);
     refused.open();
-    assertThrows(LogbookException.class, () -> refused.append(List.of(Logbook.frame(record("a")))));
+    assertThrows(
+        StorageException.class, () -> refused.append(List.of(WriteAheadLog.frame(record("a")))));
     folder.failing = false;
-    Logbook again = new Logbook(folder);
+    WriteAheadLog again = new WriteAheadLog(folder);
     again.open();
-    again.append(List.of(Logbook.frame(record("a"))));
+    again.append(List.of(WriteAheadLog.frame(record("a"))));
     holds(List.of("a"));
   }
 
   @Test
   void foldersThatWereMissingAreMade() throws Exception {
     Path deep = tmp.resolve("x/y/z");
-    new Logbook(deep).open();
+    new WriteAheadLog(deep).open();
     assertTrue(Files.isDirectory(deep));
   }
 
@@ -107,20 +108,20 @@
     List<List<String>> out = new ArrayList<>();
     for (Path p : folder.afterLossesOfPower(tmp)) {
       List<String> seen = new ArrayList<>();
-      new SegmentLog(p).open((f, place) -> seen.add(f.text("n")));
+      new SegmentedLog(p).open((f, place) -> seen.add(f.text("n")));
       out.add(seen);
     }
     return out;
   }
 
-  private static void segment(SegmentLog log, String n) throws LogbookException {
+  private static void segment(SegmentedLog log, String n) throws StorageException {
     log.begin(List.of(record("head-" + n)));
-    log.append(List.of(SegmentLog.frame(record(n))));
+    log.append(List.of(SegmentedLog.frame(record(n))));
   }
 
   @Test
   void segmentsAreThereAndNoneComesBackWithoutThoseAfterIt() throws Exception {
-    SegmentLog log = new SegmentLog(folder);
+    SegmentedLog log = new SegmentedLog(folder);
     log.open((f, place) -> {});
     List<String> all = new ArrayList<>();
     for (String n : List.of("a", "b", "c", "d")) {
@@ -131,7 +132,7 @@
     for (int dropped = 1; dropped < 4; dropped++) {
       folder.failing = dropped == 2;
       if (folder.failing) {
-        assertThrows(LogbookException.class, log::dropOldest);
+        assertThrows(StorageException.class, log::dropOldest);
         folder.failing = false;
       } else {
         log.dropOldest();
@@ -148,20 +149,21 @@
 
   @Test
   void segmentWhoseFolderIsNotSyncedCountsForNothing() throws Exception {
-    SegmentLog log = new SegmentLog(folder);
+    SegmentedLog log = new SegmentedLog(folder);
     log.open((f, place) -> {});
     segment(log, "a");
     folder.failing = true;
-    assertThrows(LogbookException.class, () -> log.begin(List.of(record("old-head"))));
-    assertThrows(LogbookException.class, () -> log.append(List.of(SegmentLog.frame(record("b")))));
-    SegmentLog again = new SegmentLog(folder);
+    assertThrows(StorageException.class, () -> log.begin(List.of(record("old-head"))));
+    assertThrows(
+        StorageException.class, () -> log.append(List.of(SegmentedLog.frame(record("b")))));
+    SegmentedLog again = new SegmentedLog(folder);
     again.open((f, place) -> {});
     assertThrows(
-        LogbookException.class, () -> again.append(List.of(SegmentLog.frame(record("b")))));
+        StorageException.class, () -> again.append(List.of(SegmentedLog.frame(record("b")))));
     folder.failing = false;
-    SegmentLog last = new SegmentLog(folder);
+    SegmentedLog last = new SegmentedLog(folder);
     last.open((f, place) -> {});
-    last.append(List.of(SegmentLog.frame(record("b"))));
+    last.append(List.of(SegmentedLog.frame(record("b"))));
     segmentsAfterLosses().forEach(s -> assertEquals(List.of("head-a", "a", "b"), s));
   }
 }
--- a/src/test/java/org/otterpond/logbook/SegmentLogTest.java
+++ b/src/test/java/org/otterpond/storage/SegmentedLogTest.java
@@ -1,4 +1,4 @@
-package org.otterpond.logbook;
+package org.otterpond.storage;
 
 import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
@@ -14,42 +14,42 @@
 import java.util.Random;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import org.otterpond.signal.Flag;
+import org.otterpond.protocol.WireRecord;
 
 /**
  * The segmented journal: what was answered is read back, by place and in order, whatever the last
  * write left.
  */
-class SegmentLogTest {
+class SegmentedLogTest {
   @TempDir private Path folder;
 
   private static List<byte[]> frames(String... names) {
     List<byte[]> out = new ArrayList<>();
     for (String n : names) {
-      out.add(SegmentLog.frame(new Flag("r").with("n", n)));
+      out.add(SegmentedLog.frame(new WireRecord("r").with("n", n)));
     }
     return out;
   }
 
-  private static SegmentLog opened(Path folder, List<String> seen) throws LogbookException {
-    SegmentLog log = new SegmentLog(folder);
+  private static SegmentedLog opened(Path folder, List<String> seen) throws StorageException {
+    SegmentedLog log = new SegmentedLog(folder);
     log.open((f, place) -> seen.add(f.text("n")));
     return log;
   }
 
   @Test
-  void placesAreReadBackAcrossSegmentsAndStarts() throws LogbookException {
-    SegmentLog log = opened(folder, new ArrayList<>());
-    log.begin(List.of(new Flag("head").with("n", "h1")));
+  void placesAreReadBackAcrossSegmentsAndStarts() throws StorageException {
+    SegmentedLog log = opened(folder, new ArrayList<>());
+    log.begin(List.of(new WireRecord("head").with("n", "h1")));
     long[] a = log.append(frames("a", "b"));
-    log.begin(List.of(new Flag("head").with("n", "h2")));
+    log.begin(List.of(new WireRecord("head").with("n", "h2")));
     long[] c = log.append(frames("c"));
     List<String> seen = new ArrayList<>();
-    SegmentLog again = opened(folder, seen);
+    SegmentedLog again = opened(folder, seen);
     assertEquals(List.of("h1", "a", "b", "h2", "c"), seen);
     assertEquals("b", again.read(a[1]).text("n"));
     assertEquals("c", again.read(c[0]).text("n"));
-    assertTrue(SegmentLog.segmentOf(a[0]) < SegmentLog.segmentOf(c[0]));
+    assertTrue(SegmentedLog.segmentOf(a[0]) < SegmentedLog.segmentOf(c[0]));
     again.dropOldest();
     assertNull(again.read(a[1]));
     assertEquals("c", again.read(c[0]).text("n"));
@@ -62,9 +62,9 @@
    * whole.
    */
   @Test
-  void lastWriteTornAnywhereLeavesAllBeforeIt() throws LogbookException, IOException {
-    SegmentLog log = opened(folder, new ArrayList<>());
-    log.begin(List.of(new Flag("head").with("n", "h")));
+  void lastWriteTornAnywhereLeavesAllBeforeIt() throws StorageException, IOException {
+    SegmentedLog log = opened(folder, new ArrayList<>());
+    log.begin(List.of(new WireRecord("head").with("n", "h")));
     log.append(frames("a"));
     long whole = log.newestSize();
     log.append(frames("torn"));
@@ -75,11 +75,11 @@
         c.truncate(size);
       }
       List<String> seen = new ArrayList<>();
-      SegmentLog again = opened(folder, seen);
+      SegmentedLog again = opened(folder, seen);
       assertEquals(List.of("h", "a"), seen);
       assertEquals(whole, again.newestSize());
     }
-    SegmentLog last = opened(folder, new ArrayList<>());
+    SegmentedLog last = opened(folder, new ArrayList<>());
     last.append(frames("next"));
     List<String> seen = new ArrayList<>();
     opened(folder, seen);
@@ -88,13 +88,14 @@
 
   /** The tests run with 4 MB for all buffers outside the heap. */
   @Test
-  void longRecordsNeedLittleRoomOutsideTheHeap() throws LogbookException {
+  void longRecordsNeedLittleRoomOutsideTheHeap() throws StorageException {
     byte[] body = new byte[7 << 20];
     new Random(1).nextBytes(body);
-    SegmentLog log = opened(folder, new ArrayList<>());
-    log.begin(List.of(new Flag("head").with("n", "h1")));
+    SegmentedLog log = opened(folder, new ArrayList<>());
+    log.begin(List.of(new WireRecord("head").with("n", "h1")));
     long[] places =
-        log.append(List.of(SegmentLog.frame(new Flag("r").with("n", "a").with("body", body))));
+        log.append(
+            List.of(SegmentedLog.frame(new WireRecord("r").with("n", "a").with("body", body))));
     assertArrayEquals(body, log.read(places[0]).bytes("body"));
   }
 }
--- a/src/test/java/org/otterpond/logbook/ForgetfulFolder.java
+++ b/src/test/java/org/otterpond/storage/UnsyncedDirectory.java
@@ -1,4 +1,4 @@
-package org.otterpond.logbook;
+package org.otterpond.storage;
 
 import java.io.IOException;
 import java.nio.file.Files;
@@ -16,13 +16,13 @@
  * A folder whose names since the last sync may each be kept or lost by themselves when power is
  * lost.
  */
-final class ForgetfulFolder extends Folder {
+final class UnsyncedDirectory extends DurableDirectory {
   boolean failing;
   int syncs;
   private final Map<String, byte[]> removed = new HashMap<>();
   private Set<String> lasting = new TreeSet<>();
 
-  ForgetfulFolder(Path path) {
+  UnsyncedDirectory(Path path) {
     super(path);
   }
 
--- a/src/test/java/org/otterpond/logbook/LogbookTest.java
+++ b/src/test/java/org/otterpond/storage/WriteAheadLogTest.java
@@ -1,4 +1,4 @@
-package org.otterpond.logbook;
+package org.otterpond.storage;
 
 import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
@@ -14,16 +14,16 @@
 import java.util.Random;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import org.otterpond.signal.Flag;
+import org.otterpond.protocol.WireRecord;
 
 /** What the journal gives back after tears, and that one whole file stands for all before it. */
-class LogbookTest {
-  private static Flag record(int n) {
-    return new Flag("claim").with("key", "k" + n).with("token", "t".repeat(n % 40 + 1));
+class WriteAheadLogTest {
+  private static WireRecord record(int n) {
+    return new WireRecord("claim").with("key", "k" + n).with("token", "t".repeat(n % 40 + 1));
   }
 
-  private static Logbook blank(Path folder) throws LogbookException {
-    Logbook l = new Logbook(folder);
+  private static WriteAheadLog blank(Path folder) throws StorageException {
+    WriteAheadLog l = new WriteAheadLog(folder);
     assertNull(l.open());
     l.rotate("disk-1", List.of());
     return l;
@@ -31,22 +31,25 @@
 
   @Test
   void everyTearOfTheLastAppendLeavesWhatWasSyncedBefore(@TempDir Path folder) throws Exception {
-    Logbook l = blank(folder);
+    WriteAheadLog l = blank(folder);
     for (int i = 0; i < 20; i++) {
-      l.append(List.of(Logbook.frame(record(i))));
+      l.append(List.of(WriteAheadLog.frame(record(i))));
     }
     long synced = l.size();
     l.append(
-        List.of(Logbook.frame(record(20)), Logbook.frame(record(21)), Logbook.frame(record(22))));
+        List.of(
+            WriteAheadLog.frame(record(20)),
+            WriteAheadLog.frame(record(21)),
+            WriteAheadLog.frame(record(22))));
     Path file = folder.resolve("log-1");
     byte[] whole = Files.readAllBytes(file);
     for (int at = (int) synced; at < whole.length; at++) {
       Files.write(file, Arrays.copyOf(whole, at));
-      int cut = JournalReading.all(folder).size();
+      int cut = WriteAheadLogReader.all(folder).size();
       byte[] hole = whole.clone();
       Arrays.fill(hole, at, Math.min(whole.length, at + 16), (byte) 0);
       Files.write(file, hole);
-      List<Flag> holed = JournalReading.all(folder);
+      List<WireRecord> holed = WriteAheadLogReader.all(folder);
       assertTrue(cut >= 21 && cut < 24, "cut at " + at + " gave " + cut);
       assertTrue(
           holed.size() >= 21 && holed.size() < 24, "hole at " + at + " gave " + holed.size());
@@ -58,29 +61,29 @@
 
   @Test
   void appendAfterATearGoesOnFromTheLastWholeRecord(@TempDir Path folder) throws Exception {
-    Logbook l = blank(folder);
-    l.append(List.of(Logbook.frame(record(1)), Logbook.frame(record(2))));
+    WriteAheadLog l = blank(folder);
+    l.append(List.of(WriteAheadLog.frame(record(1)), WriteAheadLog.frame(record(2))));
     Path file = folder.resolve("log-1");
     byte[] whole = Files.readAllBytes(file);
     Files.write(file, Arrays.copyOf(whole, whole.length - 3));
-    Logbook again = new Logbook(folder);
-    assertEquals(2, JournalReading.all(again).size());
-    again.append(List.of(Logbook.frame(record(3))));
-    List<Flag> read = JournalReading.all(folder);
+    WriteAheadLog again = new WriteAheadLog(folder);
+    assertEquals(2, WriteAheadLogReader.all(again).size());
+    again.append(List.of(WriteAheadLog.frame(record(3))));
+    List<WireRecord> read = WriteAheadLogReader.all(folder);
     assertEquals(List.of("k1", "k3"), read.subList(1, 3).stream().map(f -> f.text("key")).toList());
   }
 
   @Test
   void halfWrittenNewFileIsPassedOverForTheWholeOldOne(@TempDir Path folder) throws Exception {
-    Logbook l = blank(folder);
-    l.append(List.of(Logbook.frame(record(1))));
+    WriteAheadLog l = blank(folder);
+    l.append(List.of(WriteAheadLog.frame(record(1))));
     byte[] old = Files.readAllBytes(folder.resolve("log-1"));
     l.rotate("disk-1", List.of(record(1), record(2)));
     byte[] fresh = Files.readAllBytes(folder.resolve("log-2"));
     assertTrue(Files.notExists(folder.resolve("log-1")));
     Files.write(folder.resolve("log-1"), old);
     Files.write(folder.resolve("log-2"), Arrays.copyOf(fresh, fresh.length - 1));
-    List<Flag> read = JournalReading.all(folder);
+    List<WireRecord> read = WriteAheadLogReader.all(folder);
     assertEquals(2, read.size());
     assertEquals("disk-1", read.get(0).text("disk"));
   }
@@ -88,19 +91,19 @@
   /** A file that a failed rotation left may be there, and whole, after a loss of power. */
   @Test
   void nothingIsKeptBehindAFailedRotationUntilOneSucceeds(@TempDir Path folder) throws Exception {
-    Logbook l = blank(folder);
-    l.append(List.of(Logbook.frame(record(1))));
+    WriteAheadLog l = blank(folder);
+    l.append(List.of(WriteAheadLog.frame(record(1))));
     byte[] first = Files.readAllBytes(folder.resolve("log-1"));
     Path inTheWay = Files.createDirectory(folder.resolve("log-2"));
     Files.writeString(inTheWay.resolve("x"), "x");
-    assertThrows(LogbookException.class, () -> l.rotate("disk-1", List.of(record(1))));
-    assertThrows(LogbookException.class, () -> l.append(List.of(Logbook.frame(record(2)))));
+    assertThrows(StorageException.class, () -> l.rotate("disk-1", List.of(record(1))));
+    assertThrows(StorageException.class, () -> l.append(List.of(WriteAheadLog.frame(record(2)))));
     l.rotate("disk-1", List.of(record(1), record(2)));
-    l.append(List.of(Logbook.frame(record(3))));
+    l.append(List.of(WriteAheadLog.frame(record(3))));
     Files.delete(inTheWay.resolve("x"));
     Files.delete(inTheWay);
     Files.write(folder.resolve("log-2"), first);
-    List<Flag> read = JournalReading.all(folder);
+    List<WireRecord> read = WriteAheadLogReader.all(folder);
     assertEquals(
         List.of("k1", "k2", "k3"), read.subList(1, 4).stream().map(f -> f.text("key")).toList());
   }
@@ -110,12 +113,12 @@
   void longRecordsNeedLittleRoomOutsideTheHeap(@TempDir Path folder) throws Exception {
     byte[] body = new byte[9 << 20];
     new Random(1).nextBytes(body);
-    Flag state = new Flag("state").with("packed", body);
-    Logbook l = blank(folder);
-    l.append(List.of(Logbook.frame(state)));
+    WireRecord state = new WireRecord("state").with("packed", body);
+    WriteAheadLog l = blank(folder);
+    l.append(List.of(WriteAheadLog.frame(state)));
     l.rotate("disk-1", List.of(state));
-    l.append(List.of(Logbook.frame(record(1))));
-    List<Flag> read = JournalReading.all(folder);
+    l.append(List.of(WriteAheadLog.frame(record(1))));
+    List<WireRecord> read = WriteAheadLogReader.all(folder);
     assertEquals(3, read.size());
     assertArrayEquals(body, read.get(1).bytes("packed"));
     assertEquals("k1", read.get(2).text("key"));
@@ -123,14 +126,14 @@
 
   @Test
   void rotationThatFailsByMoreThanTheDiskIsAFailedOneToo(@TempDir Path folder) throws Exception {
-    Logbook l = blank(folder);
-    l.append(List.of(Logbook.frame(record(1))));
-    Flag bad = new Flag("state").with("packed", new Object());
-    assertThrows(LogbookException.class, () -> l.rotate("disk-1", List.of(bad)));
+    WriteAheadLog l = blank(folder);
+    l.append(List.of(WriteAheadLog.frame(record(1))));
+    WireRecord bad = new WireRecord("state").with("packed", new Object());
+    assertThrows(StorageException.class, () -> l.rotate("disk-1", List.of(bad)));
     assertFalse(l.sound());
-    assertThrows(LogbookException.class, () -> l.append(List.of(Logbook.frame(record(2)))));
+    assertThrows(StorageException.class, () -> l.append(List.of(WriteAheadLog.frame(record(2)))));
     l.rotate("disk-1", List.of(record(1)));
-    l.append(List.of(Logbook.frame(record(3))));
-    assertEquals(3, JournalReading.all(folder).size());
+    l.append(List.of(WriteAheadLog.frame(record(3))));
+    assertEquals(3, WriteAheadLogReader.all(folder).size());
   }
 }
