--- /dev/null
+++ b/src/test/java/org/otterpond/architecture/PackageDependenciesTest.java
@@ -0,0 +1,67 @@
+package org.otterpond.architecture;
+
+import static com.tngtech.archunit.library.Architectures.layeredArchitecture;
+
+import com.tngtech.archunit.core.domain.JavaClasses;
+import com.tngtech.archunit.core.importer.ClassFileImporter;
+import com.tngtech.archunit.core.importer.ImportOption;
+import com.tngtech.archunit.library.Architectures.LayeredArchitecture;
+import java.util.List;
+import org.junit.jupiter.api.Test;
+import org.otterpond.messaging.MessageIngestHandler;
+import org.otterpond.proxy.ProxyHandler;
+
+/** Holds the direction of the dependencies between packages: each may use only those below it. */
+class PackageDependenciesTest {
+  private static final String ROOT = "org.otterpond.";
+
+  /** From the lowest to the highest. As the order is total there can be no cycles. */
+  private static final List<String> BOTTOM_UP =
+      List.of(
+          "protocol",
+          "config",
+          "outlier",
+          "runtime",
+          "net",
+          "storage",
+          "keyrange",
+          "replication",
+          "control.state",
+          "control.bootstrap",
+          "control.epoch",
+          "control.primary",
+          "control.agent",
+          "proxy",
+          "messaging",
+          "server",
+          "client",
+          "simulation",
+          "tools",
+          "cli");
+
+  @Test
+  void eachPackageDependsOnlyOnThoseBelowIt() {
+    JavaClasses classes =
+        new ClassFileImporter()
+            .withImportOption(ImportOption.Predefined.DO_NOT_INCLUDE_TESTS)
+            .importPackages("org.otterpond");
+    LayeredArchitecture layers =
+        layeredArchitecture().consideringOnlyDependenciesInAnyPackage("org.otterpond..");
+    for (String name : BOTTOM_UP) {
+      layers = layers.layer(name).definedBy(ROOT + name);
+    }
+    for (int i = 0; i < BOTTOM_UP.size(); i++) {
+      String[] below = BOTTOM_UP.subList(0, i).toArray(String[]::new);
+      layers =
+          below.length == 0
+              ? layers.whereLayer(BOTTOM_UP.get(i)).mayNotAccessAnyLayer()
+              : layers.whereLayer(BOTTOM_UP.get(i)).mayOnlyAccessLayers(below);
+    }
+    layers
+        .ensureAllClassesAreContainedInArchitecture()
+        // The request handler hands message requests over by type; it goes once the handler of a
+        // route is an interface of the proxy package.
+        .ignoreDependency(ProxyHandler.class, MessageIngestHandler.class)
+        .check(classes);
+  }
+}
