--- a/src/test/java/org/otterpond/signal/Fixtures.java
+++ b/src/test/java/org/otterpond/signal/Fixtures.java
@@ -4,6 +4,7 @@
 import java.io.UncheckedIOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
+import java.nio.file.StandardCopyOption;
 import java.util.List;
 import java.util.stream.Stream;
 
@@ -27,7 +28,7 @@
         try (Stream<Path> files = Files.list(FOLDER.resolve(name))) {
             Files.createDirectories(copy);
             for (Path file : (Iterable<Path>) files::iterator) {
-                Files.copy(file, copy.resolve(file.getFileName()));
+                Files.copy(file, copy.resolve(file.getFileName()), StandardCopyOption.REPLACE_EXISTING);
             }
         } catch (IOException e) {
             throw new UncheckedIOException(e);
