--- a/src/main/java/org/otterpond/control/agent/ControlPlaneAgent.java
+++ b/src/main/java/org/otterpond/control/agent/ControlPlaneAgent.java
@@ -16,6 +16,7 @@
 import org.otterpond.control.primary.DataPlane;
 import org.otterpond.control.primary.PrimaryServices;
 import org.otterpond.control.state.CoreMember;
+import org.otterpond.control.state.EpochAnnouncement;
 import org.otterpond.control.state.EpochRecord;
 import org.otterpond.control.state.ReplicatedState;
 import org.otterpond.control.state.WorkerInstance;
@@ -261,7 +262,7 @@
   }
 
   private void tell(Collection<String> nodes, EpochRecord r) {
-    WireRecord f = new WireRecord("harbour").with("record", r.toWireRecord());
+    EpochAnnouncement f = new EpochAnnouncement(r);
     nodes.stream().filter(a -> !a.equals(me.address())).forEach(a -> runtime.send(a, f));
   }
 
@@ -672,16 +673,16 @@
               new CoreMember(f.text("blank"), f.text("addr"), f.text("name"), f.text("zone")));
         }
         if (known != null) {
-          runtime.send(from, new WireRecord("harbour").with("record", known.toWireRecord()));
+          runtime.send(from, new EpochAnnouncement(known));
         }
       }
-      case "harbour" -> learnRecord(EpochRecord.of(f.nested("record")));
+      case EpochAnnouncement.KIND -> learnRecord(EpochRecord.of(f.nested("record")));
       case "news" -> onNews(from, f);
       case "poll" -> {
         if (primaryServices != null) {
           primaryServices.onPoll(from, f);
         } else if (known != null) {
-          runtime.send(from, new WireRecord("harbour").with("record", known.toWireRecord()));
+          runtime.send(from, new EpochAnnouncement(known));
         }
       }
       case "ask" -> {
--- a/src/main/java/org/otterpond/control/epoch/EpochReplica.java
+++ b/src/main/java/org/otterpond/control/epoch/EpochReplica.java
@@ -14,6 +14,7 @@
 import org.otterpond.control.state.Assignments;
 import org.otterpond.control.state.CompressedText;
 import org.otterpond.control.state.CoreMember;
+import org.otterpond.control.state.EpochAnnouncement;
 import org.otterpond.control.state.EpochRecord;
 import org.otterpond.control.state.FaultTolerance;
 import org.otterpond.control.state.ReplicatedState;
@@ -1257,7 +1258,7 @@
         if (leading() && f.number("epoch") == 0) {
           // A blank disk at a member's address: it may know nobody else who tells it where the core
           // is.
-          runtime.send(from, new WireRecord("harbour").with("record", record.toWireRecord()));
+          runtime.send(from, new EpochAnnouncement(record));
         }
         onPong(f);
       }
--- a/src/main/java/org/otterpond/control/primary/PrimaryServices.java
+++ b/src/main/java/org/otterpond/control/primary/PrimaryServices.java
@@ -16,6 +16,7 @@
 import org.otterpond.control.state.CompressedText;
 import org.otterpond.control.state.ConfigurationUpdateParser;
 import org.otterpond.control.state.CoreMember;
+import org.otterpond.control.state.EpochAnnouncement;
 import org.otterpond.control.state.EpochRecord;
 import org.otterpond.control.state.IdempotencyKeyLock;
 import org.otterpond.control.state.ParsedConfiguration;
@@ -159,7 +160,7 @@
         .forEach(w -> register.take(WorkerInstance.of(w, runtime.now()), runtime.now()));
     keeper.began(committed.under(KeyRange.PREFIX), continued);
     // Their polls were of the epoch before, and are answered no more.
-    WireRecord begun = new WireRecord("harbour").with("record", watch.record().toWireRecord());
+    EpochAnnouncement begun = new EpochAnnouncement(watch.record());
     leases.keySet().forEach(a -> runtime.send(a, begun));
     leases.clear();
     drains.clear();
@@ -190,7 +191,7 @@
     EpochRecord known = watch.known();
     for (Map.Entry<String, Lease> e : leases.entrySet()) {
       if (e.getValue().waiting) {
-        runtime.send(e.getKey(), new WireRecord("harbour").with("record", known.toWireRecord()));
+        runtime.send(e.getKey(), new EpochAnnouncement(known));
       }
     }
     leases.clear();
@@ -201,7 +202,7 @@
   public void onPoll(String from, WireRecord poll) {
     if (!watch.leading()) {
       if (watch.known() != null && !watch.known().primary().diskId().equals(self.diskId())) {
-        runtime.send(from, new WireRecord("harbour").with("record", watch.known().toWireRecord()));
+        runtime.send(from, new EpochAnnouncement(watch.known()));
       } else {
         // This node is about to lead, as far as anybody knows: the poll is answered once it does.
         early.put(from, new Early(poll, runtime.now()));
--- a/src/main/java/org/otterpond/control/primary/ReplicaPlacement.java
+++ b/src/main/java/org/otterpond/control/primary/ReplicaPlacement.java
@@ -19,8 +19,8 @@
  * says which machines each should have, and installs the configurations that members propose, the
  * first on each version.
  */
-final class ReplicaPlacement {
-  static final String PARTITION = "partition:";
+public final class ReplicaPlacement {
+  public static final String PARTITION = "partition:";
   static final String RETIRING = "retiring:";
   private static final long SETTLED = 1_500_000;
   private static final long SILENT = 2_100_000;
--- a/src/main/java/org/otterpond/control/state/Assignments.java
+++ b/src/main/java/org/otterpond/control/state/Assignments.java
@@ -25,7 +25,7 @@
     return entries.get(key);
   }
 
-  Map<String, WireRecord> all() {
+  public Map<String, WireRecord> all() {
     return entries;
   }
 
--- a/src/main/java/org/otterpond/control/state/EpochRecord.java
+++ b/src/main/java/org/otterpond/control/state/EpochRecord.java
@@ -51,22 +51,22 @@
     }
     // Journals written when there was one backup name it by itself.
     List<CoreMember> backups =
-        f.has("backup") ? List.of(CoreMember.of(f.nested("backup"))) : zoneShares(f, "backups");
+        f.has("backup") ? List.of(CoreMember.of(f.nested("backup"))) : members(f, "backups");
     return new EpochRecord(
         f.text("fleet"),
         f.number("epoch"),
         CoreMember.of(f.nested("primary")),
         backups,
-        zoneShares(f, "members"),
+        members(f, "members"),
         (int) f.number("target"),
-        f.records("priors").stream().map(p -> zoneShares(p, "members")).toList());
+        f.records("priors").stream().map(p -> members(p, "members")).toList());
   }
 
-  private static List<WireRecord> records(List<CoreMember> zoneShares) {
-    return zoneShares.stream().map(CoreMember::toWireRecord).toList();
+  private static List<WireRecord> records(List<CoreMember> members) {
+    return members.stream().map(CoreMember::toWireRecord).toList();
   }
 
-  private static List<CoreMember> zoneShares(WireRecord f, String name) {
+  private static List<CoreMember> members(WireRecord f, String name) {
     return f.records(name).stream().map(CoreMember::of).toList();
   }
 
@@ -100,9 +100,9 @@
     return place(members, diskId);
   }
 
-  private static int place(List<CoreMember> zoneShares, String diskId) {
-    for (int i = 0; i < zoneShares.size(); i++) {
-      if (zoneShares.get(i).diskId().equals(diskId)) {
+  private static int place(List<CoreMember> members, String diskId) {
+    for (int i = 0; i < members.size(); i++) {
+      if (members.get(i).diskId().equals(diskId)) {
         return i;
       }
     }
--- a/src/test/java/org/otterpond/control/epoch/BandwidthLimitedCore.java
+++ b/src/test/java/org/otterpond/control/epoch/BandwidthLimitedCore.java
@@ -43,16 +43,16 @@
   BandwidthLimitedCore(int size, int faults, double megabits) {
     this.faults = faults;
     megabits(megabits);
-    List<CoreMember> zoneShares = new ArrayList<>();
+    List<CoreMember> coreMembers = new ArrayList<>();
     for (int i = 1; i <= size; i++) {
-      zoneShares.add(new CoreMember("disk" + i, "m" + i, "m" + i, "z"));
+      coreMembers.add(new CoreMember("disk" + i, "m" + i, "m" + i, "z"));
     }
-    for (CoreMember b : zoneShares) {
+    for (CoreMember b : coreMembers) {
       members.put(b.address(), new Member(b));
     }
     EpochRecord first =
         new EpochRecord(
-            "fleet", 1, zoneShares.get(0), zoneShares.subList(1, 1 + faults), zoneShares, size);
+            "fleet", 1, coreMembers.get(0), coreMembers.subList(1, 1 + faults), coreMembers, size);
     members
         .values()
         .forEach(
