--- a/src/main/java/org/otterpond/control/state/AppliedChanges.java
+++ b/src/main/java/org/otterpond/control/state/AppliedChanges.java
@@ -8,26 +8,38 @@
 import java.util.Map;
 
 /**
- * Which change was taken under which revision, so that one that is sent again is acknowledged
- * again. The newest {@value #MOST} are known: about 5 hours of 36,000 changes a day, 13 minutes of
- * ten a second. All copies of the state apply the same changes in the same order, so they forget
- * the same ones.
+ * The digests of the newest {@value #CAPACITY} applied configuration changes by revision, so that a
+ * retry of a change is acknowledged again. The capacity covers about 5 hours at 36,000 changes a
+ * day, or 13 minutes at ten a second. All replicas apply the same changes in the same order, so
+ * they forget the same ones.
+ *
+ * <p>Confined to the owner thread.
  */
 public final class AppliedChanges {
-  static final int MOST = 8192;
+  static final int CAPACITY = 8192;
 
-  /** Half of a SHA-256 tells changes apart well enough. */
-  private static final int DIGEST = 16;
+  /** Half of a SHA-256 is enough to distinguish changes. */
+  private static final int DIGEST_BYTES = 16;
 
+  private static final int PACKED_CHANGE_BYTES = Long.BYTES + DIGEST_BYTES;
+
+  /** In the order in which the changes were applied. */
   private final LinkedHashMap<Long, byte[]> digests = new LinkedHashMap<>();
 
   /**
-   * @param digest SHA-256 in hexadecimal
+   * Adds an applied change.
+   *
+   * @param digest SHA-256 of the change, in hexadecimal
    */
   void add(long revision, String digest) {
     put(revision, shortened(digest));
   }
 
+  /**
+   * Returns whether this change was applied under this revision.
+   *
+   * @param digest SHA-256 of the change, in hexadecimal
+   */
   public boolean holds(long revision, String digest) {
     byte[] known = digests.get(revision);
     return known != null && Arrays.equals(known, shortened(digest));
@@ -39,37 +51,38 @@
 
   private void put(long revision, byte[] digest) {
     digests.put(revision, digest);
-    if (digests.size() > MOST) {
-      Iterator<Long> oldest = digests.keySet().iterator();
-      oldest.next();
-      oldest.remove();
+    if (digests.size() > CAPACITY) {
+      Iterator<Long> oldestFirst = digests.keySet().iterator();
+      oldestFirst.next();
+      oldestFirst.remove();
     }
   }
 
   private static byte[] shortened(String digest) {
-    return BaseEncoding.base16().lowerCase().decode(digest.substring(0, 2 * DIGEST));
+    return BaseEncoding.base16().lowerCase().decode(digest.substring(0, 2 * DIGEST_BYTES));
   }
 
-  /** All of them, oldest first: each revision and digest in {@code 8 + DIGEST} bytes. */
+  /** Returns all changes, oldest first: the revision in 8 bytes, then the shortened digest. */
   byte[] pack() {
-    ByteBuffer b = ByteBuffer.allocate(digests.size() * (Long.BYTES + DIGEST));
-    for (Map.Entry<Long, byte[]> e : digests.entrySet()) {
-      b.putLong(e.getKey()).put(e.getValue());
+    ByteBuffer packed = ByteBuffer.allocate(digests.size() * PACKED_CHANGE_BYTES);
+    for (Map.Entry<Long, byte[]> change : digests.entrySet()) {
+      packed.putLong(change.getKey());
+      packed.put(change.getValue());
     }
-    return b.array();
+    return packed.array();
   }
 
-  /** Replaces them by what {@link #pack()} gave, or by none. */
+  /** Replaces all changes by packed ones; null means none. */
   void load(byte[] packed) {
     digests.clear();
     if (packed == null) {
       return;
     }
-    ByteBuffer b = ByteBuffer.wrap(packed);
-    while (b.remaining() >= Long.BYTES + DIGEST) {
-      byte[] digest = new byte[DIGEST];
-      long revision = b.getLong();
-      b.get(digest);
+    ByteBuffer remaining = ByteBuffer.wrap(packed);
+    while (remaining.remaining() >= PACKED_CHANGE_BYTES) {
+      long revision = remaining.getLong();
+      byte[] digest = new byte[DIGEST_BYTES];
+      remaining.get(digest);
       put(revision, digest);
     }
   }
--- a/src/main/java/org/otterpond/control/state/Assignments.java
+++ b/src/main/java/org/otterpond/control/state/Assignments.java
@@ -4,82 +4,111 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import org.otterpond.protocol.ProtocolException;
 import org.otterpond.protocol.WireRecord;
 
 /**
- * Who holds what, as the core has written it: message partitions, key ranges, machines to be
- * emptied. Each change has the next number, which is the same on every copy, as all apply the same
+ * The committed owners of message partitions and key ranges, and the machines that are being
+ * drained. Each change gets the next number; it is the same on every replica, as all apply the same
  * entries in the same order.
+ *
+ * <p>Confined to the owner thread. Records that methods return must not be changed.
  */
 public final class Assignments {
-  public static final String KIND = "assign";
+  /** The encoded kind of an entry. */
+  public static final String KIND = AssignmentEntry.KIND;
+
+  /** In the order of their newest changes, so that the changes after a number are at the end. */
+  private final Map<String, AssignmentEntry> entries = new LinkedHashMap<>();
 
-  private final Map<String, WireRecord> entries = new LinkedHashMap<>();
   private long number;
 
+  /** Returns the number of the newest change; 0 if there was none. */
   public long number() {
     return number;
   }
 
+  /** Returns the assignment of a key, also a released one, or null. */
   public WireRecord get(String key) {
-    return entries.get(key);
+    AssignmentEntry entry = entries.get(key);
+    return entry == null ? null : entry.content();
   }
 
+  /** Returns all assignments by key, released ones included, in the order of their changes. */
   public Map<String, WireRecord> all() {
-    return entries;
+    Map<String, WireRecord> records = new LinkedHashMap<>();
+    entries.forEach((key, entry) -> records.put(key, entry.content()));
+    return records;
   }
 
-  /** Those whose keys begin so and that stand. */
+  /** Returns the assignments in force whose keys start with the prefix. */
   public List<WireRecord> under(String prefix) {
-    List<WireRecord> out = new ArrayList<>();
-    entries.forEach(
-        (k, f) -> {
-          if (k.startsWith(prefix) && !f.truth("gone")) {
-            out.add(f);
-          }
-        });
-    return out;
+    List<WireRecord> found = new ArrayList<>();
+    for (AssignmentEntry entry : entries.values()) {
+      if (entry.key().startsWith(prefix) && !entry.released()) {
+        found.add(entry.content());
+      }
+    }
+    return found;
   }
 
-  public WireRecord apply(WireRecord entry) {
-    WireRecord f = new WireRecord(KIND);
-    entry.fields().forEach(f::with);
-    f.with("no", ++number);
-    // The newest stand last, so that what is newer than a number is found at the end.
-    entries.remove(f.text("key"));
-    entries.put(f.text("key"), f);
-    return f;
+  /**
+   * Applies an encoded entry.
+   *
+   * @return the entry with the number of its change
+   * @throws IllegalArgumentException if the entry has no key
+   */
+  public WireRecord apply(WireRecord encoded) {
+    try {
+      return apply(AssignmentEntry.of(encoded)).content();
+    } catch (ProtocolException e) {
+      throw new IllegalArgumentException(e.getMessage(), e);
+    }
   }
 
+  /**
+   * Applies an entry.
+   *
+   * @return the entry with the number of its change
+   */
+  public AssignmentEntry apply(AssignmentEntry entry) {
+    number++;
+    AssignmentEntry numbered = entry.numbered(number);
+    entries.remove(entry.key());
+    entries.put(entry.key(), numbered);
+    return numbered;
+  }
+
+  /** Returns the assignments whose newest change came after the change with the given number. */
   public List<WireRecord> newerThan(long known) {
-    List<WireRecord> out = new ArrayList<>();
-    for (WireRecord f : entries.values()) {
-      if (f.number("no") > known) {
-        out.add(f);
+    List<WireRecord> newer = new ArrayList<>();
+    for (AssignmentEntry entry : entries.values()) {
+      if (entry.number() > known) {
+        newer.add(entry.content());
       }
     }
-    return out;
+    return newer;
   }
 
+  /** Returns the encoded snapshot of all assignments. */
   public WireRecord snapshot() {
-    return new WireRecord("assignments")
-        .with("number", number)
-        .withRecords("entries", entries.values());
+    return typedSnapshot().toWireRecord();
+  }
+
+  AssignmentsSnapshot typedSnapshot() {
+    return new AssignmentsSnapshot(number, List.copyOf(entries.values()));
   }
 
-  void load(WireRecord state) {
+  void load(AssignmentsSnapshot snapshot) {
     entries.clear();
-    number = 0;
-    if (state != null) {
-      number = state.number("number");
-      state.records("entries").forEach(f -> entries.put(f.text("key"), f));
-    }
+    number = snapshot.number();
+    snapshot.entries().forEach(entry -> entries.put(entry.key(), entry));
   }
 
+  /** Returns an independent copy. */
   public Assignments copy() {
-    Assignments a = new Assignments();
-    a.number = number;
-    a.entries.putAll(entries);
-    return a;
+    Assignments copy = new Assignments();
+    copy.load(typedSnapshot());
+    return copy;
   }
 }
--- a/src/main/java/org/otterpond/control/state/CompressedText.java
+++ b/src/main/java/org/otterpond/control/state/CompressedText.java
@@ -4,46 +4,58 @@
 import org.otterpond.protocol.ProtocolException;
 import org.otterpond.protocol.WireRecord;
 
-/**
- * A configuration's text as it is kept, written and sent: packed, and unpacked only where it is
- * read.
- */
+/** The text of a configuration, compressed; immutable. It is decompressed only where it is read. */
 public final class CompressedText {
-  private static final String FIELD = "packed";
+  private static final String COMPRESSED = "packed";
 
-  private final byte[] packed;
+  /** The field in which earlier versions wrote the text uncompressed. */
+  private static final String PLAIN = "text";
 
-  private CompressedText(byte[] packed) {
-    this.packed = packed;
+  private final byte[] compressed;
+
+  private CompressedText(byte[] compressed) {
+    this.compressed = compressed;
   }
 
-  /** The text that an entry or a state holds; null if it holds none. */
-  public static CompressedText of(WireRecord f) {
-    if (f.has(FIELD)) {
-      return new CompressedText(f.bytes(FIELD));
+  /** Returns the text of an encoded entry or snapshot, or null if it has none. */
+  public static CompressedText of(WireRecord encoded) {
+    byte[] compressed = encoded.bytes(COMPRESSED);
+    if (compressed != null) {
+      return new CompressedText(compressed);
     }
-    // Journals of earlier versions hold it as it is.
-    return f.has("text") ? new CompressedText(CompressedPayload.pack(f.text("text"))) : null;
+    String plain = encoded.text(PLAIN);
+    return plain == null ? null : of(plain);
   }
 
+  /** Compresses a text. */
   public static CompressedText of(String text) {
     return new CompressedText(CompressedPayload.pack(text));
   }
 
+  /**
+   * Writes the field of a text; null leaves it out.
+   *
+   * @return the given record
+   */
   public static WireRecord put(CompressedText text, WireRecord into) {
-    return into.with(FIELD, text == null ? null : text.packed);
+    return into.with(COMPRESSED, text == null ? null : text.compressed);
   }
 
+  /** Returns the compressed form, which must not be changed. */
   public byte[] packed() {
-    return packed;
+    return compressed;
   }
 
-  /** Long texts take a while: it is for the caller to keep what is made of it. */
+  /**
+   * Decompresses the text; for long texts this takes milliseconds, so callers keep the result.
+   *
+   * @throws IllegalStateException if the bytes are no compressed text
+   */
   public String unpacked() {
     try {
-      return CompressedPayload.unpackText(packed);
+      return CompressedPayload.unpackText(compressed);
     } catch (ProtocolException e) {
-      throw new IllegalStateException("a text that was packed here or arrived whole", e);
+      throw new IllegalStateException("configuration text cannot be decompressed", e);
     }
   }
 }
--- a/src/main/java/org/otterpond/control/state/ConfigurationUpdateParser.java
+++ b/src/main/java/org/otterpond/control/state/ConfigurationUpdateParser.java
@@ -1,80 +1,107 @@
 package org.otterpond.control.state;
 
 import com.google.gson.JsonObject;
-import java.util.List;
 import org.otterpond.config.ConfigException;
 import org.otterpond.config.ConfigurationParser;
 import org.otterpond.config.JsonFields;
-import org.otterpond.protocol.CompressedPayload;
 import org.otterpond.protocol.ProtocolException;
 import org.otterpond.protocol.WireRecord;
 
 /**
- * Reads the configuration that a node is told of. It touches nothing but what it is given, so it
- * may run anywhere.
+ * Parses and validates the configuration update of a poll response.
+ *
+ * <p>{@link #run} touches nothing but what the parser was created with, so it may run on any
+ * thread; {@link #result} and {@link #cause} are read after it has returned.
  */
 public final class ConfigurationUpdateParser implements Runnable {
   private final WireRecord news;
-  private final ParsedConfiguration held;
+  private final ParsedConfiguration current;
+  private final ConfigurationUpdate update;
   private ParsedConfiguration result;
-  private String cause = "not read to its end";
+  private String cause;
 
-  public ConfigurationUpdateParser(WireRecord news, ParsedConfiguration held) {
+  /**
+   * Creates a parser.
+   *
+   * @param news the poll response
+   * @param current the configuration that changes are applied to
+   */
+  public ConfigurationUpdateParser(WireRecord news, ParsedConfiguration current) {
     this.news = news;
-    this.held = held;
+    this.current = current;
+    ConfigurationUpdate decoded = null;
+    try {
+      decoded = ConfigurationUpdate.of(news);
+      cause = "parsing did not complete";
+    } catch (ProtocolException e) {
+      cause = e.getMessage();
+    }
+    update = decoded;
   }
 
+  /** Returns whether parsing should run off the owner thread. */
   public boolean isLong() {
-    return news.has("text")
-        ? ParsedConfiguration.isLong(0, news.bytes("text").length)
-        : ParsedConfiguration.isLong(held.size(), 0);
+    if (update instanceof ConfigurationUpdate.Complete complete) {
+      return ParsedConfiguration.isLong(0, complete.text().compressedBytes());
+    }
+    return ParsedConfiguration.isLong(current.size(), 0);
   }
 
+  /** Returns the poll response that this parser was created with. */
   public WireRecord news() {
     return news;
   }
 
-  /** Null if it could not be read. */
+  /** Returns the new configuration, or null if there is none. */
   public ParsedConfiguration result() {
     return result;
   }
 
-  /** Why not; null if the changes told build on another version. */
+  /**
+   * Returns why there is no result; null if there is one, or if the changes apply to another
+   * revision than the current one.
+   */
   public String cause() {
     return cause;
   }
 
   @Override
   public void run() {
+    if (update == null) {
+      return;
+    }
     try {
-      JsonObject next =
-          news.has("text")
-              ? JsonFields.parse(CompressedPayload.unpackText(news.bytes("text")))
-              : changed();
-      if (next == null) {
-        cause = null;
-        return;
+      JsonObject next = parseUpdate();
+      if (next != null) {
+        result =
+            new ParsedConfiguration(
+                update.revision(), next, ConfigurationParser.read(next), next.toString().length());
       }
-      result =
-          new ParsedConfiguration(
-              news.number("cfg"), next, ConfigurationParser.read(next), next.toString().length());
+      cause = null;
     } catch (ConfigException | ProtocolException e) {
       cause = e.getMessage();
     }
   }
 
-  private JsonObject changed() throws ConfigException, ProtocolException {
-    JsonObject next = held.whole();
-    long at = held.revision();
-    // A primary of an earlier version sends one change, by itself.
-    for (WireRecord c : news.has("change") ? List.of(news) : news.records("changes")) {
-      if (c.number("base") != at) {
+  private JsonObject parseUpdate() throws ConfigException, ProtocolException {
+    if (update instanceof ConfigurationUpdate.Complete complete) {
+      return JsonFields.parse(complete.text().decompressed());
+    }
+    return applyChanges((ConfigurationUpdate.Changes) update);
+  }
+
+  /** Returns the changed configuration, or null if a change applies to another revision. */
+  private JsonObject applyChanges(ConfigurationUpdate.Changes changes)
+      throws ConfigException, ProtocolException {
+    JsonObject next = current.whole();
+    long revision = current.revision();
+    for (ConfigurationUpdate.Change change : changes.changes()) {
+      if (change.base() != revision) {
         return null;
       }
-      next =
-          ConfigurationParser.modify(
-              next, JsonFields.parse(CompressedPayload.unpackText(c.bytes("change"))));
-      at = c.number("rev");
+      JsonObject body = JsonFields.parse(change.body().decompressed());
+      next = ConfigurationParser.modify(next, body);
+      revision = change.revision();
     }
     return next;
   }
--- a/src/main/java/org/otterpond/control/state/EpochAnnouncement.java
+++ b/src/main/java/org/otterpond/control/state/EpochAnnouncement.java
@@ -5,8 +5,10 @@
 import org.otterpond.protocol.WireRecord;
 
 /**
- * Tells another node of an epoch record. It is a hint, never a vote: the receiver acts only on the
- * answer of the primary that the record names.
+ * Announces an epoch record to another node. It is a hint, never a vote: the receiver acts only on
+ * the response of the primary that the record names.
+ *
+ * @param record the newest epoch record that the sender knows
  */
 public record EpochAnnouncement(EpochRecord record) implements Encodable {
   /** The encoded kind. */
@@ -17,10 +19,10 @@
   /**
    * Reads an announcement.
    *
-   * @throws ProtocolException if the record is missing
+   * @throws ProtocolException if the record is missing or not valid
    */
   public static EpochAnnouncement of(WireRecord encoded) throws ProtocolException {
-    return new EpochAnnouncement(EpochRecord.of(encoded.requiredNested(RECORD)));
+    return new EpochAnnouncement(EpochRecord.decode(encoded.requiredNested(RECORD)));
   }
 
   @Override
--- a/src/main/java/org/otterpond/control/state/FaultTolerance.java
+++ b/src/main/java/org/otterpond/control/state/FaultTolerance.java
@@ -9,90 +9,106 @@
 import java.util.stream.Collectors;
 
 /**
- * What may be lost at once with the core at work and all that it acknowledged kept: so many
- * machines, or so many zones, or so many regions. It says how copies and members must be spread for
- * that.
+ * The losses at one time that the core must survive with everything it acknowledged: a number of
+ * machines, or of zones, or of regions. It chooses the members and backups accordingly. Immutable.
  *
- * @param regionOf the region of each zone; zones that it lacks count as one region, as nothing says
- *     that they are two
+ * @param machines number of machines
+ * @param zones number of zones
+ * @param regions number of regions
+ * @param regionOf the region of each zone; zones without an entry count as one region, as nothing
+ *     says that they are apart
  */
 public record FaultTolerance(int machines, int zones, int regions, Map<String, String> regionOf) {
-  private static final int MOST_MEMBERS = 9;
+  /** More members make each epoch more expensive. */
+  private static final int USUAL_MAX_MEMBERS = 9;
 
+  private static final String UNKNOWN_REGION = "";
+
+  /** Returns the tolerance of the loss of a number of machines, wherever they are. */
   public static FaultTolerance ofMachines(int machines) {
     return new FaultTolerance(machines, 0, 0, Map.of());
   }
 
-  /** How many backups an epoch has: each lost machine, zone or region may take one copy. */
+  /** Returns the number of backups of an epoch: one for each machine, zone or region to lose. */
   public int copies() {
     return Math.max(machines, Math.max(zones, regions));
   }
 
-  /** More members make each epoch dearer and bear nothing more than these do. */
+  /** Returns the largest number of members; more would not tolerate further losses. */
   public int mostMembers() {
-    return Math.max(MOST_MEMBERS, 2 * copies() + 1);
+    return Math.max(USUAL_MAX_MEMBERS, 2 * copies() + 1);
   }
 
-  private String region(CoreMember b) {
-    return regionOf.getOrDefault(b.zone(), "");
+  private String region(CoreMember member) {
+    return regionOf.getOrDefault(member.zone(), UNKNOWN_REGION);
   }
 
   /**
-   * Grows with what the group spans, and no more once no loss that is to be borne takes all of it.
+   * Returns how many zones and regions the group spans, each counted up to the number that no
+   * tolerated loss takes completely.
    */
   public int spread(Collection<CoreMember> group) {
-    return (int)
-        (Math.min(zones + 1, group.stream().map(CoreMember::zone).distinct().count())
-            + Math.min(regions + 1, group.stream().map(this::region).distinct().count()));
+    long spannedZones = group.stream().map(CoreMember::zone).distinct().count();
+    long spannedRegions = group.stream().map(this::region).distinct().count();
+    return (int) (Math.min(zones + 1, spannedZones) + Math.min(regions + 1, spannedRegions));
   }
 
+  /** Returns whether no tolerated loss of zones or regions takes the complete group. */
   public boolean spans(Collection<CoreMember> group) {
     return spread(group) == zones + regions + 2;
   }
 
   /**
-   * Takes backups from the candidates. What the group spans counts first, then a candidate's place;
-   * of those that may change places, the one of a zone that has no copy yet.
+   * Chooses backups one after another: first by the spread of the resulting group, then by {@code
+   * preference}, then zones without a replica first.
+   *
+   * @param primary the primary of the group
+   * @param candidates the members to choose from
+   * @param preference orders the candidates, the preferred ones first
+   * @param count the number of backups; fewer are returned if there are fewer candidates
    */
   public List<CoreMember> backups(
-      CoreMember primary, List<CoreMember> candidates, Comparator<CoreMember> place, int count) {
+      CoreMember primary,
+      List<CoreMember> candidates,
+      Comparator<CoreMember> preference,
+      int count) {
     List<CoreMember> group = new ArrayList<>(List.of(primary));
-    List<CoreMember> left = new ArrayList<>(candidates);
-    while (group.size() <= count && !left.isEmpty()) {
-      CoreMember next =
-          left.stream()
-              .min(
-                  Comparator.comparing((CoreMember b) -> -spread(with(group, b)))
-                      .thenComparing(place)
-                      .thenComparing(b -> group.stream().anyMatch(g -> g.zone().equals(b.zone()))))
-              .orElseThrow();
+    List<CoreMember> remaining = new ArrayList<>(candidates);
+    Comparator<CoreMember> order =
+        Comparator.comparing((CoreMember candidate) -> -spread(with(group, candidate)))
+            .thenComparing(preference)
+            .thenComparing(candidate -> hasZone(group, candidate.zone()));
+    while (group.size() <= count && !remaining.isEmpty()) {
+      CoreMember next = remaining.stream().min(order).orElseThrow();
       group.add(next);
-      left.remove(next);
+      remaining.remove(next);
     }
     return List.copyOf(group.subList(1, group.size()));
   }
 
+  private static boolean hasZone(List<CoreMember> group, String zone) {
+    return group.stream().anyMatch(member -> member.zone().equals(zone));
+  }
+
   /**
-   * By how many members the worst loss to be borne leaves more than a majority; below 0 it leaves
-   * none.
+   * Returns by how many members the worst tolerated loss leaves more than a majority; negative if
+   * it leaves no majority.
    */
   public int margin(Collection<CoreMember> members) {
-    int lost =
-        Math.max(
-            machines,
-            Math.max(
-                largest(members, CoreMember::zone, zones),
-                largest(members, this::region, regions)));
-    return members.size() - lost - (members.size() / 2 + 1);
+    int lostWithZones = largestGroups(members, CoreMember::zone, zones);
+    int lostWithRegions = largestGroups(members, this::region, regions);
+    int lost = Math.max(machines, Math.max(lostWithZones, lostWithRegions));
+    int majority = members.size() / 2 + 1;
+    return members.size() - lost - majority;
   }
 
-  private static int largest(
-      Collection<CoreMember> members, Function<CoreMember, String> place, int count) {
+  /** Returns the number of members in the {@code count} places that have most of them. */
+  private static int largestGroups(
+      Collection<CoreMember> members, Function<CoreMember, String> placeOf, int count) {
+    Map<String, Long> membersByPlace =
+        members.stream().collect(Collectors.groupingBy(placeOf, Collectors.counting()));
     return (int)
-        members.stream()
-            .collect(Collectors.groupingBy(place, Collectors.counting()))
-            .values()
-            .stream()
+        membersByPlace.values().stream()
             .sorted(Comparator.reverseOrder())
             .limit(count)
             .mapToLong(Long::longValue)
@@ -100,43 +116,46 @@
   }
 
   /**
-   * The members that these machines make best: as many as may be, unless fewer bear a loss that
-   * more do not.
+   * Chooses the members among the available machines: as many as allowed, unless fewer tolerate a
+   * loss that more do not.
    */
-  public List<CoreMember> members(List<CoreMember> machinesThere) {
-    List<CoreMember> in = new ArrayList<>(machinesThere);
-    while (in.size() > mostMembers()) {
-      in.remove(mostCrowded(in));
+  public List<CoreMember> members(List<CoreMember> available) {
+    List<CoreMember> chosen = new ArrayList<>(available);
+    while (chosen.size() > mostMembers()) {
+      chosen.remove(leastNeeded(chosen));
     }
-    List<CoreMember> best = List.copyOf(in);
-    while (margin(best) < 0 && in.size() > 2 * machines + 1) {
-      in.remove(mostCrowded(in));
-      if (margin(in) > margin(best)) {
-        best = List.copyOf(in);
+    List<CoreMember> best = List.copyOf(chosen);
+    while (margin(best) < 0 && chosen.size() > 2 * machines + 1) {
+      chosen.remove(leastNeeded(chosen));
+      if (margin(chosen) > margin(best)) {
+        best = List.copyOf(chosen);
       }
     }
     return best;
   }
 
-  /** Whom the others miss least: the last of those whose zone has most members. */
-  private CoreMember mostCrowded(List<CoreMember> members) {
-    return members.stream()
-        .max(
-            Comparator.comparing((CoreMember b) -> Math.min(0, margin(without(members, b))))
-                .thenComparing(b -> members.stream().filter(m -> m.zone().equals(b.zone())).count())
-                .thenComparing(members::indexOf))
-        .orElseThrow();
+  /** Returns the last of the members whose removal costs least margin, in the fullest zone. */
+  private CoreMember leastNeeded(List<CoreMember> members) {
+    Comparator<CoreMember> order =
+        Comparator.comparing((CoreMember member) -> Math.min(0, margin(without(members, member))))
+            .thenComparing(member -> countInZone(members, member.zone()))
+            .thenComparing(members::indexOf);
+    return members.stream().max(order).orElseThrow();
+  }
+
+  private static long countInZone(List<CoreMember> members, String zone) {
+    return members.stream().filter(member -> member.zone().equals(zone)).count();
   }
 
-  private static List<CoreMember> with(List<CoreMember> some, CoreMember b) {
-    List<CoreMember> out = new ArrayList<>(some);
-    out.add(b);
-    return out;
+  private static List<CoreMember> with(List<CoreMember> members, CoreMember added) {
+    List<CoreMember> result = new ArrayList<>(members);
+    result.add(added);
+    return result;
   }
 
-  private static List<CoreMember> without(List<CoreMember> some, CoreMember b) {
-    List<CoreMember> out = new ArrayList<>(some);
-    out.remove(b);
-    return out;
+  private static List<CoreMember> without(List<CoreMember> members, CoreMember removed) {
+    List<CoreMember> result = new ArrayList<>(members);
+    result.remove(removed);
+    return result;
   }
 }
--- a/src/main/java/org/otterpond/control/state/IdempotencyKeyLock.java
+++ b/src/main/java/org/otterpond/control/state/IdempotencyKeyLock.java
@@ -1,9 +1,12 @@
 package org.otterpond.control.state;
 
 /**
- * What the ledger holds of one operation key.
+ * The lock of one idempotency key.
  *
- * @param holder the node that claimed it, which alone knows how the run went
- * @param since monotonic time at which this node came to know the claim; its window runs from here
+ * @param token identifies the run that has the lock
+ * @param holder internal address of the node that runs the request, which alone knows its outcome;
+ *     empty if it was not written
+ * @param sinceMicros local monotonic time at which this replica learned of the lock; its window
+ *     runs from here
  */
-public record IdempotencyKeyLock(String token, String holder, long since) {}
+public record IdempotencyKeyLock(String token, String holder, long sinceMicros) {}
--- a/src/main/java/org/otterpond/control/state/ReplicatedState.java
+++ b/src/main/java/org/otterpond/control/state/ReplicatedState.java
@@ -6,143 +6,202 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import org.otterpond.protocol.ProtocolException;
 import org.otterpond.protocol.WireRecord;
 
 /**
- * The replicated state: the newest configuration, what was taken before it, the claims of operation
- * keys, and the workers as last written, from which a system that has lost every process goes on
- * before the workers beat again.
+ * The replicated state machine of the core: the newest configuration, the changes applied before
+ * it, the locks of idempotency keys, the workers as last written, and the assignments.
+ *
+ * <p>Every replica applies the same entries in the same order. Times are microseconds of the local
+ * monotonic clock; they decide only when a replica forgets key locks and ended workers. Confined to
+ * the owner thread.
  */
 public final class ReplicatedState {
-  private static final long ENDED_KEPT = 60_000_000;
+  /** Ended workers are kept for this time, so that a late heartbeat does not revive them. */
+  private static final long ENDED_WORKER_RETENTION_MICROS = 60_000_000;
 
-  private record Known(WireRecord worker, long since) {}
+  private record StoredWorker(WorkerEntry entry, long storedAtMicros) {
+    boolean hasEnded() {
+      return entry.worker().state().compareTo(WorkerState.LOST) >= 0;
+    }
+  }
 
-  private final long windowMicros;
+  private final long keyLockWindowMicros;
 
   private long revision;
   private CompressedText text;
-  private final AppliedChanges taken = new AppliedChanges();
-  private final Map<String, Known> workers = new LinkedHashMap<>();
-  private final LinkedHashMap<String, IdempotencyKeyLock> claims = new LinkedHashMap<>();
+  private AppliedChanges appliedChanges = new AppliedChanges();
+  private final Map<String, StoredWorker> workers = new LinkedHashMap<>();
   private final Assignments assignments = new Assignments();
 
-  /** One text for each node, however many claims it has. */
-  private final Map<String, String> holders = new HashMap<>();
+  /** In the order in which this replica learned of the locks. */
+  private final LinkedHashMap<String, IdempotencyKeyLock> keyLocks = new LinkedHashMap<>();
+
+  /** One string for each holder, as many locks share few holders. */
+  private final Map<String, String> internedHolders = new HashMap<>();
 
-  public ReplicatedState(long windowMicros) {
-    this.windowMicros = windowMicros;
+  /**
+   * Creates an empty state.
+   *
+   * @param keyLockWindowMicros time after which this replica forgets a key lock
+   */
+  public ReplicatedState(long keyLockWindowMicros) {
+    this.keyLockWindowMicros = keyLockWindowMicros;
   }
 
+  /** Returns the revision of the newest configuration; 0 if there is none. */
   public long revision() {
     return revision;
   }
 
+  /** Returns the newest configuration, or null. */
   public CompressedText text() {
     return text;
   }
 
-  /** The workers as last written, those that have ended among them for a while. */
+  /** Returns the encoded entries of the workers as last written, recently ended ones included. */
   public List<WireRecord> workers() {
-    List<WireRecord> out = new ArrayList<>();
-    workers.values().forEach(k -> out.add(k.worker()));
-    return out;
+    return workerEntries().stream().map(WorkerEntry::toWireRecord).toList();
   }
 
+  /** Returns the workers as last written, recently ended ones included. */
+  public List<WorkerEntry> workerEntries() {
+    return workers.values().stream().map(StoredWorker::entry).toList();
+  }
+
+  /** Returns the assignments, which only entries change. */
   public Assignments assignments() {
     return assignments;
   }
 
+  /** Returns the number of locked idempotency keys. */
   public int claimCount() {
-    return claims.size();
+    return keyLocks.size();
   }
 
+  /** Returns the lock of an idempotency key, or null. */
   public IdempotencyKeyLock claim(String key) {
-    return claims.get(key);
+    return keyLocks.get(key);
   }
 
-  /** The changes that were taken before, so that one sent again is known. */
+  /** Returns the changes of the configuration that were applied, to recognize retries of them. */
   public AppliedChanges taken() {
-    return taken;
-  }
-
-  public void apply(WireRecord entry, long now) {
-    switch (entry.kind()) {
-      case "claim" -> {
-        claims.remove(entry.text("key"));
-        put(entry.text("key"), entry.text("token"), entry.text("holder"), now);
-      }
-      case "free" -> {
-        IdempotencyKeyLock c = claims.get(entry.text("key"));
-        if (c != null && c.token().equals(entry.text("token"))) {
-          claims.remove(entry.text("key"));
-        }
-      }
-      case "config" -> {
-        revision = entry.number("rev");
-        text = CompressedText.of(entry);
-        taken.add(revision, entry.text("digest"));
-      }
-      case "worker" -> workers.put(entry.text("id"), new Known(entry, now));
-      case Assignments.KIND -> assignments.apply(entry);
-      default -> throw new IllegalArgumentException("no such entry: " + entry.kind());
+    return appliedChanges;
+  }
+
+  /**
+   * Applies an encoded entry.
+   *
+   * @param nowMicros local monotonic time
+   * @throws IllegalArgumentException if it is no entry or lacks a required field
+   */
+  public void apply(WireRecord encoded, long nowMicros) {
+    try {
+      apply(ReplicatedEntryDecoder.decode(encoded), nowMicros);
+    } catch (ProtocolException e) {
+      throw new IllegalArgumentException(e.getMessage(), e);
+    }
+  }
+
+  /**
+   * Applies an entry.
+   *
+   * @param nowMicros local monotonic time
+   */
+  public void apply(ReplicatedEntry entry, long nowMicros) {
+    if (entry instanceof KeyLockEntry lock) {
+      keyLocks.remove(lock.key());
+      putLock(lock, nowMicros);
+    } else if (entry instanceof KeyReleaseEntry release) {
+      releaseLock(release);
+    } else if (entry instanceof ConfigurationEntry configuration) {
+      replaceConfiguration(configuration);
+    } else if (entry instanceof WorkerEntry worker) {
+      putWorker(worker, nowMicros);
+    } else if (entry instanceof AssignmentEntry assignment) {
+      assignments.apply(assignment);
     }
   }
 
-  private void put(String key, String token, String holder, long now) {
-    String at = holder == null ? "" : holder;
-    claims.put(key, new IdempotencyKeyLock(token, holders.computeIfAbsent(at, h -> h), now));
+  private void putLock(KeyLockEntry entry, long nowMicros) {
+    String holder = entry.holder() == null ? "" : entry.holder();
+    String interned = internedHolders.computeIfAbsent(holder, same -> same);
+    keyLocks.put(entry.key(), new IdempotencyKeyLock(entry.token(), interned, nowMicros));
+  }
+
+  private void releaseLock(KeyReleaseEntry release) {
+    IdempotencyKeyLock lock = keyLocks.get(release.key());
+    if (lock != null && lock.token().equals(release.token())) {
+      keyLocks.remove(release.key());
+    }
+  }
+
+  private void replaceConfiguration(ConfigurationEntry entry) {
+    revision = entry.revision();
+    text = entry.text();
+    appliedChanges.add(revision, entry.digest());
+  }
+
+  private void putWorker(WorkerEntry entry, long nowMicros) {
+    workers.put(entry.worker().id(), new StoredWorker(entry, nowMicros));
   }
 
   /**
-   * Forgets claims whose window has passed. Claims stand in the order in which they were learnt.
+   * Forgets key locks whose window has passed and workers that ended long ago.
+   *
+   * @param nowMicros local monotonic time
    */
-  public void expire(long now) {
+  public void expire(long nowMicros) {
     workers
         .values()
         .removeIf(
-            k ->
-                now - k.since() > ENDED_KEPT
-                    && WorkerState.valueOf(k.worker().text("state")).compareTo(WorkerState.LOST)
-                        >= 0);
-    Iterator<Map.Entry<String, IdempotencyKeyLock>> it = claims.entrySet().iterator();
-    while (it.hasNext()) {
-      IdempotencyKeyLock c = it.next().getValue();
-      if (now - c.since() <= windowMicros) {
-        return;
-      }
-      it.remove();
+            worker ->
+                worker.hasEnded()
+                    && nowMicros - worker.storedAtMicros() > ENDED_WORKER_RETENTION_MICROS);
+    Iterator<IdempotencyKeyLock> oldestFirst = keyLocks.values().iterator();
+    while (oldestFirst.hasNext()
+        && nowMicros - oldestFirst.next().sinceMicros() > keyLockWindowMicros) {
+      oldestFirst.remove();
     }
   }
 
-  /** The whole of it. */
+  /** Returns the encoded snapshot of the complete state. */
   public WireRecord snapshot() {
-    List<Object> keys = new ArrayList<>(claims.size() * 3);
-    claims.forEach(
-        (k, c) -> {
-          keys.add(k);
-          keys.add(c.token());
-          keys.add(c.holder());
-        });
-    return CompressedText.put(text, new WireRecord("state").with("rev", revision))
-        .with("taken", taken.pack())
-        .withRecords("workers", workers())
-        .with("claims", keys)
-        .with("assignments", assignments.number() == 0 ? null : assignments.snapshot());
-  }
-
-  /** Replaces everything; windows of the claims begin anew. */
-  public void load(WireRecord state, long now) {
-    revision = state.number("rev");
-    text = CompressedText.of(state);
-    taken.load(state.bytes("taken"));
-    workers.clear();
-    state.records("workers").forEach(w -> workers.put(w.text("id"), new Known(w, now)));
-    assignments.load(state.nested("assignments"));
-    claims.clear();
-    List<Object> keys = state.list("claims");
-    for (int i = 0; i + 2 < keys.size(); i += 3) {
-      put((String) keys.get(i), (String) keys.get(i + 1), (String) keys.get(i + 2), now);
+    List<KeyLockEntry> locks = new ArrayList<>(keyLocks.size());
+    keyLocks.forEach((key, lock) -> locks.add(new KeyLockEntry(key, lock.token(), lock.holder())));
+    return new ReplicatedStateSnapshot(
+            revision, text, appliedChanges, workerEntries(), locks, assignments.typedSnapshot())
+        .toWireRecord();
+  }
+
+  /**
+   * Replaces the complete state by an encoded snapshot.
+   *
+   * @param nowMicros local monotonic time, from which the windows of the key locks run anew
+   * @throws IllegalArgumentException if the snapshot is not valid; the state is then unchanged
+   */
+  public void load(WireRecord encoded, long nowMicros) {
+    try {
+      load(ReplicatedStateSnapshot.of(encoded), nowMicros);
+    } catch (ProtocolException e) {
+      throw new IllegalArgumentException(e.getMessage(), e);
     }
   }
+
+  /**
+   * Replaces the complete state by a snapshot, which must not be used afterwards.
+   *
+   * @param nowMicros local monotonic time, from which the windows of the key locks run anew
+   */
+  public void load(ReplicatedStateSnapshot snapshot, long nowMicros) {
+    revision = snapshot.revision();
+    text = snapshot.text();
+    appliedChanges = snapshot.appliedChanges();
+    workers.clear();
+    snapshot.workers().forEach(worker -> putWorker(worker, nowMicros));
+    assignments.load(snapshot.assignments());
+    keyLocks.clear();
+    snapshot.keyLocks().forEach(lock -> putLock(lock, nowMicros));
+  }
 }
--- a/src/main/java/org/otterpond/control/state/WorkerInstance.java
+++ b/src/main/java/org/otterpond/control/state/WorkerInstance.java
@@ -2,11 +2,21 @@
 
 import com.google.common.hash.Hashing;
 import java.nio.charset.StandardCharsets;
+import org.otterpond.protocol.ProtocolException;
 import org.otterpond.protocol.WireRecord;
 
 /**
- * One life of a worker, as its newest beat told it. Times in microseconds of the reading node's
- * monotonic clock.
+ * One incarnation of a worker, as its newest heartbeat described it. Immutable.
+ *
+ * @param id identity of the incarnation
+ * @param service name of the service that it registers for
+ * @param address address that takes requests, {@code ip:port}
+ * @param zone zone of the worker; null if it named none
+ * @param revision revision of the worker's own software; null if it named none
+ * @param slots number of requests that it serves at one time
+ * @param state the state
+ * @param sequence number of the heartbeat
+ * @param warmUntil end of the slow start, in microseconds of the local monotonic clock
  */
 public record WorkerInstance(
     String id,
@@ -18,64 +28,136 @@
     WorkerState state,
     long sequence,
     long warmUntil) {
+  /** The encoded kind of an instance in worker tables. */
+  public static final String KIND = "vessel";
 
-  public WireRecord toWireRecord(long now) {
-    return toWireRecord("vessel", now);
+  private static final String ID = "id";
+  private static final String SERVICE = "service";
+  private static final String ADDRESS = "addr";
+  private static final String ZONE = "zone";
+  private static final String REVISION = "rev";
+  private static final String SLOTS = "slots";
+  private static final String STATE = "state";
+  private static final String SEQUENCE = "seq";
+  private static final String SLOW_START_MICROS = "warm";
+
+  /** The hash of an instance that has ended. */
+  private static final long ENDED_HASH = 0;
+
+  /**
+   * Encodes the instance for worker tables.
+   *
+   * @param nowMicros local monotonic time; the encoded form has the remaining slow start
+   */
+  public WireRecord toWireRecord(long nowMicros) {
+    return toWireRecord(KIND, nowMicros);
   }
 
-  public WireRecord toWireRecord(String kind, long now) {
+  /**
+   * Encodes the instance as a record of the given kind.
+   *
+   * @param nowMicros local monotonic time; the encoded form has the remaining slow start
+   */
+  public WireRecord toWireRecord(String kind, long nowMicros) {
     return new WireRecord(kind)
-        .with("id", id)
-        .with("service", service)
-        .with("addr", address)
-        .with("zone", zone)
-        .with("rev", revision)
-        .with("slots", slots)
-        .with("state", state.name())
-        .with("seq", sequence)
-        .with("warm", Math.max(0, warmUntil - now));
+        .with(ID, id)
+        .with(SERVICE, service)
+        .with(ADDRESS, address)
+        .with(ZONE, zone)
+        .with(REVISION, revision)
+        .with(SLOTS, slots)
+        .with(STATE, state.name())
+        .with(SEQUENCE, sequence)
+        .with(SLOW_START_MICROS, Math.max(0, warmUntil - nowMicros));
   }
 
-  public static WorkerInstance of(WireRecord f, long now) {
+  /**
+   * Reads an instance.
+   *
+   * @param nowMicros local monotonic time
+   * @throws ProtocolException if a required field is missing or the state is unknown
+   */
+  public static WorkerInstance decode(WireRecord encoded, long nowMicros) throws ProtocolException {
     return new WorkerInstance(
-        f.text("id"),
-        f.text("service"),
-        f.text("addr"),
-        f.text("zone"),
-        f.text("rev"),
-        (int) f.number("slots"),
-        WorkerState.valueOf(f.text("state")),
-        f.number("seq"),
-        now + f.number("warm"));
+        encoded.requiredText(ID),
+        encoded.requiredText(SERVICE),
+        encoded.requiredText(ADDRESS),
+        encoded.text(ZONE),
+        encoded.text(REVISION),
+        (int) encoded.number(SLOTS),
+        decodeState(encoded),
+        encoded.number(SEQUENCE),
+        nowMicros + encoded.number(SLOW_START_MICROS));
   }
 
+  private static WorkerState decodeState(WireRecord encoded) throws ProtocolException {
+    String name = encoded.requiredText(STATE);
+    try {
+      return WorkerState.valueOf(name);
+    } catch (IllegalArgumentException e) {
+      throw new ProtocolException(
+          "kind " + encoded.kind() + ": unknown value in the field " + STATE + ": " + name, e);
+    }
+  }
+
+  /**
+   * Reads an instance; code that can reject a message uses {@link #decode}.
+   *
+   * @param nowMicros local monotonic time
+   * @throws IllegalArgumentException if a required field is missing or the state is unknown
+   */
+  public static WorkerInstance of(WireRecord encoded, long nowMicros) {
+    try {
+      return decode(encoded, nowMicros);
+    } catch (ProtocolException e) {
+      throw new IllegalArgumentException(e.getMessage(), e);
+    }
+  }
+
+  /** Returns this instance in another state. */
   public WorkerInstance in(WorkerState other) {
     return new WorkerInstance(
         id, service, address, zone, revision, slots, other, sequence, warmUntil);
   }
 
-  /** What is known after hearing {@code news}, this being what was known before. */
-  public WorkerInstance merge(WorkerInstance news) {
+  /** Returns this instance with another end of its slow start, in microseconds. */
+  WorkerInstance withWarmUntil(long otherMicros) {
+    return new WorkerInstance(
+        id, service, address, zone, revision, slots, state, sequence, otherMicros);
+  }
+
+  /**
+   * Returns the newer of this known description and a received one of the same instance. An
+   * instance that is gone stays gone, and one that is draining takes no new requests again.
+   */
+  public WorkerInstance merge(WorkerInstance received) {
     if (state == WorkerState.GONE) {
       return this;
     }
-    if (news.state == WorkerState.GONE) {
-      return news;
+    if (received.state == WorkerState.GONE) {
+      return received;
     }
-    if (news.sequence < sequence
-        || (news.sequence == sequence && news.state.compareTo(state) <= 0)) {
+    if (!received.isNewerThan(this)) {
       return this;
     }
-    if (state == WorkerState.DRAINING && news.state == WorkerState.IN_SERVICE) {
-      return news.in(WorkerState.DRAINING);
+    if (state == WorkerState.DRAINING && received.state == WorkerState.IN_SERVICE) {
+      return received.in(WorkerState.DRAINING);
     }
-    return news;
+    return received;
+  }
+
+  private boolean isNewerThan(WorkerInstance known) {
+    return sequence > known.sequence
+        || (sequence == known.sequence && state.compareTo(known.state) > 0);
   }
 
-  /** A number by which whole tables are compared; 0 for a life that is over. */
+  /**
+   * Returns a hash of what routing depends on; the sum over all instances tells whether two worker
+   * tables are equal. It is 0 for an instance that has ended.
+   */
   public long sum() {
     if (state.compareTo(WorkerState.LOST) >= 0) {
-      return 0;
+      return ENDED_HASH;
     }
     return Hashing.murmur3_128()
         .hashString(
@@ -84,7 +166,7 @@
         .asLong();
   }
 
-  /** Whether delivering this instead of {@code old} tells anybody anything. */
+  /** Returns whether routing has to know this description in place of {@code old}, or of null. */
   public boolean differs(WorkerInstance old) {
     return old == null
         || old.state != state
--- a/src/main/java/org/otterpond/protocol/WireRecord.java
+++ b/src/main/java/org/otterpond/protocol/WireRecord.java
@@ -99,6 +99,21 @@
     return nested(name);
   }
 
+  /**
+   * Returns the nested records of a list that every sender sets; it may be empty.
+   *
+   * @throws ProtocolException if the field is missing, holds no list or a list of something else
+   */
+  public List<WireRecord> requiredRecords(String name) throws ProtocolException {
+    List<?> elements = required(name, List.class);
+    for (Object element : elements) {
+      if (!(element instanceof Map)) {
+        throw new ProtocolException("kind " + kind + ": the field " + name + " holds no records");
+      }
+    }
+    return records(name);
+  }
+
   private <T> T required(String name, Class<T> type) throws ProtocolException {
     Object value = fields.get(name);
     if (!type.isInstance(value)) {
--- a/src/test/java/org/otterpond/control/state/AppliedChangesTest.java
+++ b/src/test/java/org/otterpond/control/state/AppliedChangesTest.java
@@ -14,29 +14,30 @@
   }
 
   @Test
-  void newestAreKnownUpToTheBoundAndSurviveASnapshot() {
-    AppliedChanges t = new AppliedChanges();
-    int all = AppliedChanges.MOST + 10;
-    for (long n = 1; n <= all; n++) {
-      t.add(2 * n, digest(n));
+  void givenMoreChangesThanFit_whenCopiedBySnapshot_thenBothKnowTheNewestAndForgetAlike() {
+    AppliedChanges original = new AppliedChanges();
+    int added = AppliedChanges.CAPACITY + 10;
+    for (long n = 1; n <= added; n++) {
+      original.add(2 * n, digest(n));
     }
-    byte[] packed = t.pack();
-    assertEquals(24 * AppliedChanges.MOST, packed.length);
+
+    byte[] packed = original.pack();
     AppliedChanges copy = new AppliedChanges();
     copy.add(7, digest(7));
     copy.load(packed);
-    for (AppliedChanges c : new AppliedChanges[] {t, copy}) {
-      assertEquals(AppliedChanges.MOST, c.size());
-      assertFalse(c.holds(20, digest(10)), "beyond the bound");
-      assertTrue(c.holds(22, digest(11)));
-      assertTrue(c.holds(2L * all, digest(all)));
-      assertFalse(c.holds(2L * all, digest(all - 1)), "another change under the number");
-      assertFalse(c.holds(7, digest(7)));
+
+    assertEquals(24 * AppliedChanges.CAPACITY, packed.length);
+    for (AppliedChanges changes : new AppliedChanges[] {original, copy}) {
+      assertEquals(AppliedChanges.CAPACITY, changes.size());
+      assertFalse(changes.holds(20, digest(10)), "beyond the capacity");
+      assertTrue(changes.holds(22, digest(11)));
+      assertTrue(changes.holds(2L * added, digest(added)));
+      assertFalse(changes.holds(2L * added, digest(added - 1)), "another change of the revision");
+      assertFalse(changes.holds(7, digest(7)));
     }
-    // Both forget the same one next.
-    t.add(2L * all + 2, digest(all + 1));
-    copy.add(2L * all + 2, digest(all + 1));
-    assertFalse(t.holds(22, digest(11)) || copy.holds(22, digest(11)));
+    original.add(2L * added + 2, digest(added + 1));
+    copy.add(2L * added + 2, digest(added + 1));
+    assertFalse(original.holds(22, digest(11)) || copy.holds(22, digest(11)));
     copy.load(null);
     assertEquals(0, copy.size());
   }
--- a/src/test/java/org/otterpond/protocol/GoldenMessages.java
+++ b/src/test/java/org/otterpond/protocol/GoldenMessages.java
@@ -70,11 +70,16 @@
    * Checks that each sample of a kind is read into a typed message that encodes to the same bytes.
    */
   public static void assertRoundTrip(String kind, Decoder decoder) throws ProtocolException {
-    List<Sample> samples = samples(kind);
-    assertFalse(samples.isEmpty(), "no sample of kind " + kind);
+    assertRoundTrip(samples(kind), decoder);
+  }
+
+  /** Checks the given samples, of which there must be one at least, as {@link #assertRoundTrip}. */
+  public static void assertRoundTrip(List<Sample> samples, Decoder decoder)
+      throws ProtocolException {
+    assertFalse(samples.isEmpty(), "no sample");
     for (Sample sample : samples) {
       Encodable typed = decoder.decode(sample.decoded());
-      assertEquals(hex(sample.bytes()), hex(encode(typed)), () -> kind + ": " + typed);
+      assertEquals(hex(sample.bytes()), hex(encode(typed)), () -> sample.kind() + ": " + typed);
     }
   }
 
