--- a/src/main/java/org/otterpond/control/bootstrap/CoreBootstrap.java
+++ b/src/main/java/org/otterpond/control/bootstrap/CoreBootstrap.java
@@ -2,186 +2,188 @@
 
 import java.util.ArrayList;
 import java.util.Comparator;
-import java.util.HashMap;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
 import org.otterpond.control.state.CoreMember;
 import org.otterpond.control.state.EpochRecord;
 import org.otterpond.control.state.FaultTolerance;
+import org.otterpond.protocol.ProtocolException;
 import org.otterpond.protocol.WireRecord;
 import org.otterpond.runtime.NodeRuntime;
 
 /**
- * The one decision taken before there is a core: its first record. The seeds decide it among
- * themselves by a single-decree ballot (Paxos), each in its first life only, so that a seed that
- * forgot what it promised has no vote.
+ * Decides the record of the first epoch among the seed nodes by single-decree Paxos. A seed takes
+ * part only in its first incarnation: after a restart it has forgotten its promises.
+ *
+ * <p>Confined to the owner thread. The number of seeds is at most eight.
  */
 public final class CoreBootstrap {
+  private static final long FIRST_EPOCH = 1;
+
+  /** The first seed waits this long after its start, and each further one this long more. */
+  private static final long PROPOSAL_DELAY_MICROS = 2_000_000;
+
+  /** No proposal is started until no new disk has appeared for this time. */
+  private static final long DISK_SETTLE_MICROS = 1_500_000;
+
+  /** An undecided proposal is retried after this time and a random part of the jitter. */
+  private static final long RETRY_MICROS = 1_000_000;
+
+  private static final long RETRY_JITTER_MICROS = 500_000;
+
   private final NodeRuntime runtime;
   private final String self;
   private final List<String> seeds;
-  private final int rank;
-  private final FaultTolerance losses;
-  private final boolean votes;
-  private final long startedAt;
-
-  private final Map<String, CoreMember> blanks = new LinkedHashMap<>();
-  private long lastNews;
+  private final FaultTolerance faultTolerance;
+  private final boolean participates;
+  private final long firstProposalMicros;
 
-  private long promised;
-  private long acceptedBallot;
-  private EpochRecord accepted;
+  private final Map<String, CoreMember> blankDisks = new LinkedHashMap<>();
+  private long lastDiskMicros;
 
-  private long ballot;
-  private long ballotAt;
-  private boolean asking;
-  private EpochRecord value;
-  private final Map<String, WireRecord> promises = new HashMap<>();
-  private final Map<String, Boolean> accepts = new HashMap<>();
-
-  private EpochRecord decided;
+  private final Acceptor acceptor = new Acceptor();
+  private final Proposer proposer;
+  private long proposedMicros;
 
+  /**
+   * Creates the bootstrap of one node.
+   *
+   * @param self internal address of this node
+   * @param seeds internal addresses of the seeds, in the same order on all nodes
+   * @param firstIncarnation whether this process is the first of this node
+   * @param faultTolerance chooses members and backups
+   */
   public CoreBootstrap(
       NodeRuntime runtime,
       String self,
       List<String> seeds,
-      boolean firstLife,
-      FaultTolerance losses) {
+      boolean firstIncarnation,
+      FaultTolerance faultTolerance) {
     this.runtime = runtime;
-    this.losses = losses;
     this.self = self;
     this.seeds = seeds;
-    this.rank = seeds.indexOf(self);
-    this.votes = firstLife && rank >= 0;
-    this.startedAt = runtime.now();
-    this.lastNews = startedAt;
+    this.faultTolerance = faultTolerance;
+    int rank = seeds.indexOf(self);
+    this.participates = firstIncarnation && rank >= 0;
+    this.firstProposalMicros = runtime.now() + (rank + 1) * PROPOSAL_DELAY_MICROS;
+    this.lastDiskMicros = runtime.now();
+    this.proposer = new Proposer(rank, seeds.size());
   }
 
+  /** Returns the record of the first epoch, or null while this node knows of no decision. */
   public EpochRecord decided() {
-    return decided;
+    return proposer.decided();
   }
 
-  /** A blank disk of the first start has made itself known. */
-  public void blankDisk(CoreMember b) {
-    if (blanks.put(b.diskId(), b) == null) {
-      lastNews = runtime.now();
+  /** Adds a blank disk that announced itself in its node's first start. */
+  public void blankDisk(CoreMember disk) {
+    if (blankDisks.put(disk.diskId(), disk) == null) {
+      lastDiskMicros = runtime.now();
     }
   }
 
+  /** Starts or retries a proposal if it is time for one; called at short intervals. */
   public void tick() {
     long now = runtime.now();
-    if (!votes || decided != null || blanks.isEmpty()) {
+    if (!participates || decided() != null || blankDisks.isEmpty()) {
       return;
     }
-    if (now - startedAt < 2_000_000L + rank * 2_000_000L || now - lastNews < 1_500_000) {
+    if (now < firstProposalMicros || now - lastDiskMicros < DISK_SETTLE_MICROS) {
       return;
     }
-    if (ballot != 0 && now - ballotAt < 1_000_000L + runtime.random(500_000)) {
+    if (proposer.hasProposed()
+        && now - proposedMicros < RETRY_MICROS + runtime.random(RETRY_JITTER_MICROS)) {
       return;
     }
-    ballot = (Math.max(promised, ballot) / 8 + 1) * 8 + rank;
-    ballotAt = now;
-    asking = true;
-    promises.clear();
-    accepts.clear();
-    toSeeds(new WireRecord("fprep").with("ballot", ballot));
+    proposedMicros = now;
+    sendToSeeds(proposer.prepare(acceptor.promisedNumber()));
   }
 
-  private void toSeeds(WireRecord f) {
-    for (String s : seeds) {
-      if (s.equals(self)) {
-        onMessage(self, f);
-      } else {
-        runtime.send(s, f);
-      }
+  /**
+   * Handles a message if it is one of the bootstrap. A malformed one is logged and dropped.
+   *
+   * @param from internal address of the sender
+   * @return whether it was a message of the bootstrap
+   */
+  public boolean onMessage(String from, WireRecord encoded) {
+    if (!BootstrapMessage.isKind(encoded.kind())) {
+      return false;
+    }
+    try {
+      handle(from, BootstrapMessage.of(encoded));
+    } catch (ProtocolException e) {
+      runtime.malformedMessage(from, e);
     }
+    return true;
   }
 
-  private void reply(String to, WireRecord f) {
-    if (to.equals(self)) {
-      onMessage(self, f);
-    } else {
-      runtime.send(to, f);
+  private void handle(String from, BootstrapMessage message) {
+    if (message instanceof BootstrapMessage.Prepare prepare) {
+      onPrepare(from, prepare);
+    } else if (message instanceof BootstrapMessage.Promise promise) {
+      onPromise(from, promise);
+    } else if (message instanceof BootstrapMessage.Accept accept) {
+      onAccept(from, accept);
+    } else if (message instanceof BootstrapMessage.Accepted accepted) {
+      onAccepted(from, accepted);
     }
   }
 
-  public boolean onMessage(String from, WireRecord f) {
-    switch (f.kind()) {
-      case "fprep" -> {
-        if (votes && f.number("ballot") > promised) {
-          promised = f.number("ballot");
-          reply(
-              from,
-              new WireRecord("fprom")
-                  .with("ballot", promised)
-                  .with("at", acceptedBallot)
-                  .with("value", accepted == null ? null : accepted.toWireRecord()));
-        }
-      }
-      case "fprom" -> {
-        if (asking && f.number("ballot") == ballot) {
-          promises.put(from, f);
-          if (promises.size() >= majority()) {
-            asking = false;
-            value = chooseValue();
-            toSeeds(
-                new WireRecord("facc").with("ballot", ballot).with("value", value.toWireRecord()));
-          }
-        }
-      }
-      case "facc" -> {
-        if (votes && f.number("ballot") >= promised) {
-          promised = f.number("ballot");
-          acceptedBallot = promised;
-          accepted = EpochRecord.of(f.nested("value"));
-          reply(from, new WireRecord("faccd").with("ballot", promised));
-        }
-      }
-      case "faccd" -> {
-        if (f.number("ballot") == ballot && value != null && decided == null) {
-          accepts.put(from, true);
-          if (accepts.size() >= majority()) {
-            decided = value;
-            runtime.event(
-                "event=core_founded members="
-                    + value.members().size()
-                    + " primary="
-                    + value.primary().name());
-          }
-        }
-      }
-      default -> {
-        return false;
-      }
+  private void onPrepare(String from, BootstrapMessage.Prepare prepare) {
+    if (participates) {
+      acceptor.onPrepare(prepare).ifPresent(promise -> send(from, promise));
     }
-    return true;
   }
 
-  private int majority() {
-    return seeds.size() / 2 + 1;
+  private void onPromise(String from, BootstrapMessage.Promise promise) {
+    proposer.onPromise(from, promise, this::firstEpoch).ifPresent(this::sendToSeeds);
   }
 
-  private EpochRecord chooseValue() {
-    WireRecord best = null;
-    for (WireRecord f : promises.values()) {
-      if (f.nested("value") != null && (best == null || f.number("at") > best.number("at"))) {
-        best = f;
-      }
+  private void onAccept(String from, BootstrapMessage.Accept accept) {
+    if (participates) {
+      acceptor.onAccept(accept).ifPresent(accepted -> send(from, accepted));
     }
-    if (best != null) {
-      return EpochRecord.of(best.nested("value"));
+  }
+
+  private void onAccepted(String from, BootstrapMessage.Accepted accepted) {
+    if (proposer.onAccepted(from, accepted)) {
+      EpochRecord first = decided();
+      runtime.event(
+          "event=core_bootstrapped members="
+              + first.members().size()
+              + " primary="
+              + first.primary().name());
+    }
+  }
+
+  private void sendToSeeds(BootstrapMessage message) {
+    for (String seed : seeds) {
+      send(seed, message);
     }
-    List<CoreMember> disks = new ArrayList<>(blanks.values());
+  }
+
+  private void send(String address, BootstrapMessage message) {
+    if (address.equals(self)) {
+      handle(self, message);
+    } else {
+      runtime.send(address, message);
+    }
+  }
+
+  /** Returns the record to propose: the known disks as members, the first one as primary. */
+  private EpochRecord firstEpoch() {
+    List<CoreMember> disks = new ArrayList<>(blankDisks.values());
     disks.sort(Comparator.comparing(CoreMember::address));
-    List<CoreMember> members = losses.members(disks);
+    List<CoreMember> members = faultTolerance.members(disks);
+    CoreMember primary = members.get(0);
     List<CoreMember> backups =
-        losses.backups(
-            members.get(0),
+        faultTolerance.backups(
+            primary,
             members.subList(1, members.size()),
             Comparator.comparing(members::indexOf),
-            losses.copies());
+            faultTolerance.copies());
     String fleet = Long.toHexString(runtime.random(Long.MAX_VALUE));
-    return new EpochRecord(fleet, 1, members.get(0), backups, members, members.size());
+    return new EpochRecord(fleet, FIRST_EPOCH, primary, backups, members, members.size());
   }
 }
