--- a/src/main/java/org/otterpond/protocol/WireRecord.java
+++ b/src/main/java/org/otterpond/protocol/WireRecord.java
@@ -6,16 +6,22 @@
 import java.util.Map;
 
 /**
- * The encoded form of a message between nodes or of a log record: a kind and named fields.
+ * The encoded form of a message between nodes or of a log record: a kind and named fields in their
+ * order.
  *
  * <p>Code outside the codecs works with typed messages ({@link Encodable}); this form is what they
  * are written to and read from. Unknown fields are kept and ignored, so that a message of a newer
- * version can be read.
+ * version can be read. Field values are texts, whole numbers, doubles, booleans, bytes, lists and
+ * nested records.
  */
 public final class WireRecord implements Encodable {
+  /** The field of the encoded map that has the kind. */
+  private static final String KIND = "_";
+
   private final String kind;
   private final Map<String, Object> fields = new LinkedHashMap<>();
 
+  /** Creates a record without fields. */
   public WireRecord(String kind) {
     this.kind = kind;
   }
@@ -25,41 +31,97 @@
     return this;
   }
 
+  /** Returns the kind, by which decoders are chosen. */
   public String kind() {
     return kind;
   }
 
+  /** Returns the fields in their order, without the kind; changes write through. */
   public Map<String, Object> fields() {
     return fields;
   }
 
-  /** Sets a field; a null value leaves it out. */
+  /**
+   * Sets a field; a null value leaves it out.
+   *
+   * @return this record
+   */
   public WireRecord with(String name, Object value) {
     if (value != null) {
-      fields.put(name, value instanceof WireRecord f ? f.asMap() : value);
+      fields.put(name, value instanceof WireRecord nested ? nested.asMap() : value);
+    }
+    return this;
+  }
+
+  /**
+   * Sets a field to a list of nested records.
+   *
+   * @return this record
+   */
+  public WireRecord withRecords(String name, Iterable<WireRecord> records) {
+    List<Object> elements = new ArrayList<>();
+    for (WireRecord element : records) {
+      elements.add(element.asMap());
     }
+    fields.put(name, elements);
     return this;
   }
 
+  /** Returns whether the field is there. */
   public boolean has(String name) {
     return fields.containsKey(name);
   }
 
+  /** Returns the text of an optional field; null if it is missing or holds no text. */
   public String text(String name) {
-    return (String) fields.get(name);
+    return optional(name, String.class);
   }
 
+  /** Returns the whole number of an optional field; 0 if it is missing or holds no number. */
   public long number(String name) {
-    Object v = fields.get(name);
-    return v instanceof Number n ? n.longValue() : 0L;
+    Number number = optional(name, Number.class);
+    return number == null ? 0 : number.longValue();
   }
 
+  /** Returns whether an optional field holds true. */
   public boolean truth(String name) {
     return Boolean.TRUE.equals(fields.get(name));
   }
 
+  /** Returns the bytes of an optional field; null if it is missing or holds no bytes. */
   public byte[] bytes(String name) {
-    return (byte[]) fields.get(name);
+    return optional(name, byte[].class);
+  }
+
+  /** Returns the nested record of an optional field; null if it is missing or holds no record. */
+  @SuppressWarnings("unchecked") // maps in fields have field names as keys
+  public WireRecord nested(String name) {
+    Map<String, Object> map = optional(name, Map.class);
+    return map == null ? null : fromMap(map);
+  }
+
+  /** Returns the elements of an optional list; none if it is missing or holds no list. */
+  @SuppressWarnings("unchecked") // a list of any elements is a list of objects
+  public List<Object> list(String name) {
+    List<Object> elements = optional(name, List.class);
+    return elements == null ? List.of() : elements;
+  }
+
+  /** Returns the nested records of an optional list; elements of other types are left out. */
+  @SuppressWarnings("unchecked") // maps in fields have field names as keys
+  public List<WireRecord> records(String name) {
+    List<WireRecord> records = new ArrayList<>();
+    for (Object element : list(name)) {
+      if (element instanceof Map) {
+        records.add(fromMap((Map<String, Object>) element));
+      }
+    }
+    return records;
+  }
+
+  private <T> T optional(String name, Class<T> type) {
+    Object value = fields.get(name);
+    return type.isInstance(value) ? type.cast(value) : null;
   }
 
   /**
@@ -105,71 +167,36 @@
    * @throws ProtocolException if the field is missing, holds no list or a list of something else
    */
   public List<WireRecord> requiredRecords(String name) throws ProtocolException {
-    List<?> elements = required(name, List.class);
-    for (Object element : elements) {
-      if (!(element instanceof Map)) {
-        throw new ProtocolException("kind " + kind + ": the field " + name + " holds no records");
-      }
+    int elements = required(name, List.class).size();
+    List<WireRecord> records = records(name);
+    if (records.size() < elements) {
+      throw new ProtocolException(
+          "kind " + kind + ": the field " + name + " holds other elements than records");
     }
-    return records(name);
+    return records;
   }
 
   private <T> T required(String name, Class<T> type) throws ProtocolException {
-    Object value = fields.get(name);
-    if (!type.isInstance(value)) {
+    T value = optional(name, type);
+    if (value == null) {
       throw ProtocolException.missingField(kind, name);
     }
-    return type.cast(value);
+    return value;
   }
 
-  /** A nested message, or null. */
-  @SuppressWarnings("unchecked")
-  public WireRecord nested(String name) {
-    Object v = fields.get(name);
-    return v == null ? null : fromMap((Map<String, Object>) v);
-  }
-
-  @SuppressWarnings("unchecked")
-  public List<Object> list(String name) {
-    Object v = fields.get(name);
-    return v == null ? List.of() : (List<Object>) v;
-  }
-
-  /** A list of nested messages. */
-  @SuppressWarnings("unchecked")
-  public List<WireRecord> records(String name) {
-    List<WireRecord> out = new ArrayList<>();
-    for (Object o : list(name)) {
-      out.add(fromMap((Map<String, Object>) o));
-    }
-    return out;
-  }
-
-  public WireRecord withRecords(String name, Iterable<WireRecord> records) {
-    List<Object> out = new ArrayList<>();
-    for (WireRecord f : records) {
-      out.add(f.asMap());
-    }
-    fields.put(name, out);
-    return this;
+  /** Returns the map that is encoded: the kind, then the fields. */
+  Map<String, Object> asMap() {
+    Map<String, Object> map = new LinkedHashMap<>();
+    map.put(KIND, kind);
+    map.putAll(fields);
+    return map;
   }
 
-  Map<String, Object> asMap() {
-    Map<String, Object> m = new LinkedHashMap<>();
-    m.put("_", kind);
-    m.putAll(fields);
-    return m;
-  }
-
-  static WireRecord fromMap(Map<String, Object> m) {
-    WireRecord f = new WireRecord(String.valueOf(m.get("_")));
-    m.forEach(
-        (k, v) -> {
-          if (!k.equals("_")) {
-            f.fields.put(k, v);
-          }
-        });
-    return f;
+  static WireRecord fromMap(Map<String, Object> map) {
+    WireRecord decoded = new WireRecord(String.valueOf(map.get(KIND)));
+    decoded.fields.putAll(map);
+    decoded.fields.remove(KIND);
+    return decoded;
   }
 
   @Override
--- a/src/test/java/org/otterpond/protocol/Fixtures.java
+++ b/src/test/java/org/otterpond/protocol/Fixtures.java
@@ -8,24 +8,32 @@
 import java.util.List;
 import java.util.stream.Stream;
 
-/** Messages and stored data that the code of commit e87432b wrote; see the README beside them. */
+/**
+ * Reads the messages and the stored data that the code of commit e87432b wrote; the README.txt
+ * beside them says how.
+ */
 public final class Fixtures {
-  private static final Path FOLDER = Path.of("src/test/resources/fixtures/e87432b");
+  private static final Path DIRECTORY = Path.of("src/test/resources/fixtures/e87432b");
 
   private Fixtures() {}
 
+  /** Returns the lines of a text file. */
   public static List<String> lines(String name) {
     try {
-      return Files.readAllLines(FOLDER.resolve(name));
+      return Files.readAllLines(DIRECTORY.resolve(name));
     } catch (IOException e) {
       throw new UncheckedIOException(e);
     }
   }
 
-  /** Copies a data directory, as opening one may truncate or add files. */
-  public static Path copy(String name, Path into) {
-    Path copy = into.resolve(name);
-    try (Stream<Path> files = Files.list(FOLDER.resolve(name))) {
+  /**
+   * Copies a data directory, as opening one may truncate or add files.
+   *
+   * @return the copy, which is a subdirectory of {@code parent}
+   */
+  public static Path copy(String name, Path parent) {
+    Path copy = parent.resolve(name);
+    try (Stream<Path> files = Files.list(DIRECTORY.resolve(name))) {
       Files.createDirectories(copy);
       for (Path file : (Iterable<Path>) files::iterator) {
         Files.copy(file, copy.resolve(file.getFileName()), StandardCopyOption.REPLACE_EXISTING);
--- a/src/test/java/org/otterpond/protocol/GoldenMessages.java
+++ b/src/test/java/org/otterpond/protocol/GoldenMessages.java
@@ -17,18 +17,32 @@
 
   private GoldenMessages() {}
 
-  /**
-   * One encoded message.
-   *
-   * @param kind the kind of the outermost record
-   * @param fields the names of its fields, in the order in which they are encoded
-   * @param bytes the encoded form
-   */
-  public record Sample(String kind, List<String> fields, byte[] bytes) {
-    private static Sample of(String line) {
+  /** One encoded message. */
+  public static final class Sample {
+    private final String kind;
+    private final List<String> fields;
+    private final byte[] bytes;
+
+    private Sample(String line) {
       String[] columns = line.split("\t", -1);
-      List<String> fields = columns[1].isEmpty() ? List.of() : List.of(columns[1].split(","));
-      return new Sample(columns[0], fields, HexFormat.of().parseHex(columns[2]));
+      kind = columns[0];
+      fields = columns[1].isEmpty() ? List.of() : List.of(columns[1].split(","));
+      bytes = HexFormat.of().parseHex(columns[2]);
+    }
+
+    /** Returns the kind of the outermost record. */
+    public String kind() {
+      return kind;
+    }
+
+    /** Returns the names of its fields, in the order in which they are encoded. */
+    public List<String> fields() {
+      return fields;
+    }
+
+    /** Returns the encoded form. */
+    public byte[] bytes() {
+      return bytes.clone();
     }
 
     /** Decodes the bytes; each call returns a new record. */
@@ -46,7 +60,7 @@
 
   /** Returns every sample of the file, in its order. */
   public static List<Sample> samples() {
-    return Fixtures.lines(FILE).stream().map(Sample::of).toList();
+    return Fixtures.lines(FILE).stream().map(Sample::new).toList();
   }
 
   /** Returns the samples whose outermost record is of the given kind, in the order of the file. */
--- a/src/test/java/org/otterpond/protocol/GoldenMessagesTest.java
+++ b/src/test/java/org/otterpond/protocol/GoldenMessagesTest.java
@@ -12,10 +12,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.function.Executable;
 
-/**
- * Messages and records that an earlier version encoded are read as they were meant, and encoded to
- * the same bytes.
- */
+/** The codec reads what an earlier version encoded, and encodes it to the same bytes. */
 class GoldenMessagesTest {
   /** Every kind that the code of commit e87432b encodes, by itself or inside another. */
   private static final Set<String> KINDS =
@@ -106,7 +103,7 @@
           "worker",
           "working");
 
-  private static Stream<Executable> each(SampleCheck check) {
+  private static Stream<Executable> forEachSample(SampleCheck check) {
     return GoldenMessages.samples().stream().map(sample -> () -> check.check(sample));
   }
 
@@ -117,16 +114,16 @@
   private static void addKinds(Object value, Set<String> kinds) {
     if (value instanceof Map<?, ?> nested) {
       kinds.add((String) nested.get("_"));
-      nested.values().forEach(v -> addKinds(v, kinds));
+      nested.values().forEach(field -> addKinds(field, kinds));
     } else if (value instanceof List<?> list) {
-      list.forEach(v -> addKinds(v, kinds));
+      list.forEach(element -> addKinds(element, kinds));
     }
   }
 
   @Test
   void givenEncodedMessage_whenDecoded_thenKindAndFieldNamesAreThose() {
     assertAll(
-        each(
+        forEachSample(
             sample -> {
               WireRecord decoded = sample.decoded();
               assertEquals(sample.kind(), decoded.kind());
@@ -138,7 +135,7 @@
   void givenDecodedMessage_whenEncodedAgain_thenBytesAreTheSame() {
     HexFormat hex = HexFormat.of();
     assertAll(
-        each(
+        forEachSample(
             sample ->
                 assertEquals(
                     hex.formatHex(sample.bytes()),
--- a/src/test/java/org/otterpond/protocol/RecordText.java
+++ b/src/test/java/org/otterpond/protocol/RecordText.java
@@ -5,26 +5,27 @@
 import java.util.Map;
 import java.util.stream.Collectors;
 
-/**
- * One line of text for a record: its kind and fields in their order; texts in quotes, bytes in
- * hexadecimal.
- */
+/** Formats records as text, in one line, for comparison with stored expectations. */
 public final class RecordText {
   private RecordText() {}
 
+  /**
+   * Returns the kind and the fields in their order; texts are quoted, bytes are in hexadecimal
+   * after an x.
+   */
   public static String of(WireRecord record) {
     return record.kind() + fields(record.fields());
   }
 
   private static String fields(Map<?, ?> fields) {
     return fields.entrySet().stream()
-        .map(e -> e.getKey() + "=" + value(e.getValue()))
+        .map(field -> field.getKey() + "=" + value(field.getValue()))
         .collect(Collectors.joining(", ", "{", "}"));
   }
 
   private static String value(Object value) {
     if (value instanceof String text) {
-      return '"' + text.replace("\\", "\\\\").replace("\"", "\\\"").replace("\n", "\\n") + '"';
+      return quoted(text);
     }
     if (value instanceof byte[] bytes) {
       return "x" + HexFormat.of().formatHex(bytes);
@@ -37,4 +38,9 @@
     }
     return String.valueOf(value);
   }
+
+  private static String quoted(String text) {
+    String escaped = text.replace("\\", "\\\\").replace("\"", "\\\"").replace("\n", "\\n");
+    return '"' + escaped + '"';
+  }
 }
