--- a/src/main/java/org/otterpond/config/JsonFields.java
+++ b/src/main/java/org/otterpond/config/JsonFields.java
@@ -13,8 +13,11 @@
 import java.io.StringReader;
 import java.math.BigDecimal;
 
-/** Checked reading of one JSON object; every complaint names the field by its whole path. */
+/** Reads and checks the fields of one JSON object; every error names the field by its full path. */
 public final class JsonFields {
+  /** Numbers with more digits or a larger exponent take too long to convert. */
+  private static final int MAX_DECIMAL_DIGITS = 60;
+
   private final JsonObject object;
   private final String path;
 
@@ -23,129 +26,169 @@
     this.path = path;
   }
 
-  /** Reads a text that must be exactly one JSON object. */
+  /**
+   * Parses a text.
+   *
+   * @throws ConfigException if it is not exactly one JSON object
+   */
   public static JsonObject parse(String text) throws ConfigException {
     try (JsonReader reader = new JsonReader(new StringReader(text))) {
       reader.setStrictness(Strictness.STRICT);
-      JsonElement e = Streams.parse(reader);
-      if (!e.isJsonObject()) {
-        throw new ConfigException("body: not a JSON object");
+      JsonElement parsed = Streams.parse(reader);
+      if (!parsed.isJsonObject()) {
+        throw new ConfigException("body: must be a JSON object");
       }
       if (reader.peek() != JsonToken.END_DOCUMENT) {
-        throw new ConfigException("body: something follows the JSON object");
+        throw new ConfigException("body: nothing may follow the JSON object");
       }
-      return e.getAsJsonObject();
-    } catch (IOException | JsonParseException | IllegalStateException | StackOverflowError ex) {
-      throw new ConfigException("body: not readable as JSON");
+      return parsed.getAsJsonObject();
+    } catch (IOException | JsonParseException | IllegalStateException | StackOverflowError e) {
+      throw new ConfigException("body: not readable as JSON", e);
     }
   }
 
-  public static JsonFields of(JsonElement e, String path) throws ConfigException {
-    if (e == null || !e.isJsonObject()) {
-      throw new ConfigException(path + ": an object is wanted");
+  /**
+   * Reads an element as an object.
+   *
+   * @param path path of the element, for errors; empty for the outermost object
+   * @throws ConfigException if it is null or no object
+   */
+  public static JsonFields of(JsonElement element, String path) throws ConfigException {
+    if (element == null || !element.isJsonObject()) {
+      throw new ConfigException(path + ": must be an object");
     }
-    return new JsonFields(e.getAsJsonObject(), path);
+    return new JsonFields(element.getAsJsonObject(), path);
   }
 
+  /** Returns the full path of a field, for errors. */
   public String at(String name) {
     return path.isEmpty() ? name : path + "." + name;
   }
 
+  /** Returns whether the field is there and not null. */
   public boolean has(String name) {
-    JsonElement e = object.get(name);
-    return e != null && !e.isJsonNull();
+    JsonElement element = object.get(name);
+    return element != null && !element.isJsonNull();
+  }
+
+  /** Returns the underlying object; changes write through. */
+  public JsonObject raw() {
+    return object;
   }
 
-  private JsonElement need(String name) throws ConfigException {
+  private JsonElement required(String name) throws ConfigException {
     if (!has(name)) {
       throw new ConfigException(at(name) + ": missing");
     }
     return object.get(name);
   }
 
+  /** Returns a required object. */
   public JsonFields object(String name) throws ConfigException {
-    return of(need(name), at(name));
+    return of(required(name), at(name));
   }
 
+  /** Returns an optional object; an empty one if it is missing. */
+  public JsonFields optionalObject(String name) throws ConfigException {
+    return has(name) ? object(name) : of(new JsonObject(), at(name));
+  }
+
+  /** Returns a required list. */
   public JsonArray array(String name) throws ConfigException {
-    JsonElement e = need(name);
-    if (!e.isJsonArray()) {
-      throw new ConfigException(at(name) + ": a list is wanted");
+    JsonElement element = required(name);
+    if (!element.isJsonArray()) {
+      throw new ConfigException(at(name) + ": must be a list");
     }
-    return e.getAsJsonArray();
+    return element.getAsJsonArray();
   }
 
+  /** Returns an optional list; an empty one if it is missing. */
+  public JsonArray optionalArray(String name) throws ConfigException {
+    return has(name) ? array(name) : new JsonArray();
+  }
+
+  /** Returns a required text that is not empty. */
   public String text(String name) throws ConfigException {
-    JsonElement e = need(name);
-    if (!(e instanceof JsonPrimitive p) || !p.isString() || p.getAsString().isEmpty()) {
-      throw new ConfigException(at(name) + ": a text that is not empty is wanted");
-    }
-    return e.getAsString();
+    return text(required(name), at(name));
   }
 
-  public String text(String name, String otherwise) throws ConfigException {
-    return has(name) ? text(name) : otherwise;
+  /** Returns an optional text, or a default. */
+  public String text(String name, String defaultValue) throws ConfigException {
+    return has(name) ? text(name) : defaultValue;
   }
 
-  /** A whole number within bounds. */
-  public long whole(String name, long least, long most) throws ConfigException {
-    BigDecimal v = number(name);
-    long n;
+  /**
+   * Reads an element as a text that is not empty.
+   *
+   * @param path path of the element, for the error
+   */
+  static String text(JsonElement element, String path) throws ConfigException {
+    if (element instanceof JsonPrimitive primitive
+        && primitive.isString()
+        && !primitive.getAsString().isEmpty()) {
+      return primitive.getAsString();
+    }
+    throw new ConfigException(path + ": must be a text that is not empty");
+  }
+
+  /** Returns a required whole number between the bounds, which are allowed values. */
+  public long whole(String name, long min, long max) throws ConfigException {
+    long value;
     try {
-      n = v.longValueExact();
-    } catch (ArithmeticException ex) {
-      throw new ConfigException(at(name) + ": a whole number is wanted");
+      value = number(name).longValueExact();
+    } catch (ArithmeticException e) {
+      throw new ConfigException(at(name) + ": must be a whole number", e);
     }
-    if (n < least || n > most) {
-      throw new ConfigException(at(name) + ": outside " + least + " to " + most);
+    if (value < min || value > max) {
+      throw new ConfigException(at(name) + ": must be from " + min + " to " + max);
     }
-    return n;
+    return value;
   }
 
-  public long whole(String name, long least, long most, long otherwise) throws ConfigException {
-    return has(name) ? whole(name, least, most) : otherwise;
+  /** Returns an optional whole number between the bounds, or a default. */
+  public long whole(String name, long min, long max, long defaultValue) throws ConfigException {
+    return has(name) ? whole(name, min, max) : defaultValue;
   }
 
-  /** A number, with fractions or without, not below the least. */
-  public double real(String name, double least, double otherwise) throws ConfigException {
+  /** Returns an optional number that is not below the minimum, or a default. */
+  public double real(String name, double min, double defaultValue) throws ConfigException {
     if (!has(name)) {
-      return otherwise;
+      return defaultValue;
     }
-    double v = number(name).doubleValue();
-    if (!(v >= least)) {
-      throw new ConfigException(at(name) + ": below " + least);
+    double value = number(name).doubleValue();
+    if (!(value >= min)) {
+      throw new ConfigException(at(name) + ": must not be below " + min);
     }
-    return v;
+    return value;
   }
 
   private BigDecimal number(String name) throws ConfigException {
-    JsonElement e = need(name);
-    if (!(e instanceof JsonPrimitive p) || !p.isNumber()) {
-      throw new ConfigException(at(name) + ": a number is wanted");
+    JsonElement element = required(name);
+    if (!(element instanceof JsonPrimitive primitive) || !primitive.isNumber()) {
+      throw new ConfigException(at(name) + ": must be a number");
     }
+    BigDecimal value;
     try {
-      BigDecimal v = p.getAsBigDecimal();
-      if (v.precision() > 60 || Math.abs((long) v.scale()) > 60) {
-        throw new ConfigException(at(name) + ": out of range");
-      }
-      return v;
-    } catch (NumberFormatException ex) {
-      throw new ConfigException(at(name) + ": a number is wanted");
+      value = primitive.getAsBigDecimal();
+    } catch (NumberFormatException e) {
+      throw new ConfigException(at(name) + ": must be a number", e);
+    }
+    if (value.precision() > MAX_DECIMAL_DIGITS
+        || Math.abs((long) value.scale()) > MAX_DECIMAL_DIGITS) {
+      throw new ConfigException(at(name) + ": out of range");
     }
+    return value;
   }
 
-  public boolean truth(String name, boolean otherwise) throws ConfigException {
+  /** Returns an optional boolean, or a default. */
+  public boolean truth(String name, boolean defaultValue) throws ConfigException {
     if (!has(name)) {
-      return otherwise;
+      return defaultValue;
     }
-    JsonElement e = object.get(name);
-    if (!(e instanceof JsonPrimitive p) || !p.isBoolean()) {
-      throw new ConfigException(at(name) + ": true or false is wanted");
+    JsonElement element = object.get(name);
+    if (!(element instanceof JsonPrimitive primitive) || !primitive.isBoolean()) {
+      throw new ConfigException(at(name) + ": must be true or false");
     }
-    return e.getAsBoolean();
-  }
-
-  public JsonObject raw() {
-    return object;
+    return primitive.getAsBoolean();
   }
 }
--- a/src/main/java/org/otterpond/config/NodeSettings.java
+++ b/src/main/java/org/otterpond/config/NodeSettings.java
@@ -1,195 +1,349 @@
 package org.otterpond.config;
 
-import com.google.gson.JsonElement;
-import com.google.gson.JsonObject;
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
 import java.nio.file.Path;
-import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
-import java.util.Set;
-import java.util.TreeMap;
 
-/** What one process is told by its settings file, checked. */
+/**
+ * The validated settings file of one process. Immutable.
+ *
+ * <p>Components are grouped by what they concern; the accessors below give single settings by name.
+ *
+ * @param node identity and addresses
+ * @param process role, resources and log of the process
+ * @param timers times of workers, keys and messages
+ * @param retries the retry budget
+ * @param quota bounds on the quota that nodes share
+ * @param revocation bounds on the use of revoked access keys
+ * @param faultTolerance the losses to tolerate
+ */
 public record NodeSettings(
-    String nodeName,
-    String ip,
-    String zone,
-    String frontPoint,
-    String readinessPoint,
-    String controlPoint,
-    int internalPort,
-    List<String> seedAddresses,
-    boolean initialStart,
-    String dataDir,
-    int memoryMb,
-    int fileDescriptors,
-    long heartbeatMicros,
-    long contactMicros,
-    long drainMicros,
-    long graceMicros,
-    double retryRatio,
-    double retrySlack,
-    long retryWindowMicros,
-    long keyWindowMicros,
-    String logLevel,
-    boolean ejectSlow,
-    int faults,
-    boolean revocationGlobal,
-    long revokeMicros,
-    long quotaWindowMicros,
-    double quotaExcess,
-    double quotaSlack,
-    String deployment,
-    boolean storage,
-    long statusMicros,
-    long ceilingWindowMicros,
-    double ceilingExcess,
-    int diskMb,
-    long holdMicros,
-    long thawMicros,
-    int zoneFaults,
-    int regionFaults,
-    Map<String, String> regionOf) {
-  private static final Set<String> DEPLOYMENTS = Set.of("gateway", "queue");
+    Node node,
+    ProcessSettings process,
+    Timers timers,
+    Retries retries,
+    Quota quota,
+    Revocation revocation,
+    Faults faultTolerance) {
+  /**
+   * Identity and addresses of a node.
+   *
+   * @param name unique name
+   * @param ip address by which other nodes reach it
+   * @param zone zone, "-" if none was given
+   * @param listen addresses for clients
+   * @param internalPort port for messages between nodes, the same on all nodes
+   * @param seedAddresses internal addresses of the seeds
+   */
+  record Node(
+      String name,
+      String ip,
+      String zone,
+      ListenPoints listen,
+      int internalPort,
+      List<String> seedAddresses) {}
 
+  /**
+   * Listen addresses, {@code address:port}; each is null if it was not given.
+   *
+   * @param front requests of clients
+   * @param readiness readiness checks
+   * @param control control API
+   */
+  record ListenPoints(String front, String readiness, String control) {}
+
+  /**
+   * Role, resources and log of a process.
+   *
+   * @param initialStart whether this may be the first start of the system
+   * @param dataDir directory for durable data; null if the node has no disk
+   * @param storage whether the node runs the message store
+   * @param limits resource limits
+   * @param logLevel level of the log
+   * @param ejectSlow whether slow workers get less weight
+   */
+  record ProcessSettings(
+      boolean initialStart,
+      String dataDir,
+      boolean storage,
+      ResourceLimits limits,
+      String logLevel,
+      boolean ejectSlow) {}
+
+  /**
+   * Resource limits of a process.
+   *
+   * @param memoryMb memory in megabytes
+   * @param fileDescriptors number of file descriptors
+   * @param diskMb disk space in megabytes
+   */
+  record ResourceLimits(int memoryMb, int fileDescriptors, int diskMb) {}
+
+  /**
+   * Times of workers, keys and messages.
+   *
+   * @param workers times of workers
+   * @param keyWindowMicros time in which an idempotency key is executed at most once
+   * @param statusMicros time for which the outcome of a message is kept
+   * @param maxHoldMicros longest lease of a key range
+   * @param thawMicros longest time that a worker goes on after it was paused
+   */
+  record Timers(
+      WorkerTimers workers,
+      long keyWindowMicros,
+      long statusMicros,
+      long maxHoldMicros,
+      long thawMicros) {}
+
+  /**
+   * Times of workers.
+   *
+   * @param heartbeatMicros interval of heartbeats
+   * @param contactMicros longest time without contact to the core
+   * @param drainMicros longest time in which a leaving worker still gets requests
+   * @param graceMicros time after which a worker without heartbeats is lost
+   */
+  record WorkerTimers(
+      long heartbeatMicros, long contactMicros, long drainMicros, long graceMicros) {}
+
+  /**
+   * The retry budget.
+   *
+   * @param ratio retries allowed for each first attempt
+   * @param slack retries allowed in a window besides
+   * @param windowMicros the window
+   */
+  record Retries(double ratio, double slack, long windowMicros) {}
+
+  /**
+   * Bounds on the quota that nodes share.
+   *
+   * @param windowMicros window over which a rate limit of tenants holds
+   * @param excess allowed excess, as a fraction of the limit
+   * @param slack allowed excess in requests
+   * @param serviceWindowMicros window over which a rate limit of services holds
+   * @param serviceExcess largest allowed multiple of a service's limit
+   */
+  record Quota(
+      long windowMicros,
+      double excess,
+      double slack,
+      long serviceWindowMicros,
+      double serviceExcess) {}
+
+  /**
+   * Bounds on the use of revoked access keys.
+   *
+   * @param global whether the bound holds on all nodes
+   * @param timerMicros longest use of a key after its revocation
+   */
+  record Revocation(boolean global, long timerMicros) {}
+
+  /**
+   * The losses at one time to tolerate.
+   *
+   * @param machines number of machines
+   * @param zones number of zones
+   * @param regions number of regions
+   * @param regionOf the region of each zone that the file names
+   */
+  record Faults(int machines, int zones, int regions, Map<String, String> regionOf) {}
+
+  /**
+   * Reads a settings file.
+   *
+   * @throws ConfigException if the file cannot be read or is not valid
+   */
   public static NodeSettings load(Path file) throws ConfigException {
     String text;
     try {
       text = Files.readString(file, StandardCharsets.UTF_8);
     } catch (IOException e) {
-      throw new ConfigException("settings file: not readable: " + file);
+      throw new ConfigException("settings file: not readable: " + file, e);
     }
-    return read(JsonFields.parse(text));
+    return NodeSettingsParser.parse(JsonFields.parse(text));
   }
 
-  static NodeSettings read(JsonObject o) throws ConfigException {
-    JsonFields f = JsonFields.of(o, "");
-    JsonFields points = f.object("listen_points");
-    JsonElement range = f.array("internal_port_range");
-    int port;
-    try {
-      port = range.getAsJsonArray().get(0).getAsInt();
-    } catch (RuntimeException e) {
-      throw new ConfigException("internal_port_range: two port numbers are wanted");
-    }
-    if (port < 1 || port > 65_535) {
-      throw new ConfigException("internal_port_range: outside 1 to 65535");
-    }
-    List<String> seeds = new ArrayList<>();
-    for (JsonElement e : f.array("seed_peers")) {
-      String s = e.isJsonPrimitive() ? e.getAsString() : "";
-      int colon = s.lastIndexOf(':');
-      if (colon < 1) {
-        throw new ConfigException("seed_peers: address:port is wanted");
-      }
-      seeds.add(s.substring(0, colon) + ":" + port);
-    }
-    JsonFields b = f.has("bounds") ? f.object("bounds") : JsonFields.of(new JsonObject(), "bounds");
-    JsonFields l = f.has("limits") ? f.object("limits") : JsonFields.of(new JsonObject(), "limits");
-    JsonFields t =
-        f.has("fault_tolerance")
-            ? f.object("fault_tolerance")
-            : JsonFields.of(new JsonObject(), "fault_tolerance");
-    String ip = f.text("ip");
-    return new NodeSettings(
-        f.text("node_name"),
-        ip,
-        f.text("zone", "-"),
-        point(points, "front_plain"),
-        point(points, "readiness_point"),
-        point(points, "control_point"),
-        port,
-        List.copyOf(seeds),
-        f.truth("initial_start", false),
-        f.text("data_dir", null),
-        (int) l.whole("memory_mb", 1, 1 << 24, 256),
-        (int) l.whole("file_descriptors", 64, 1 << 24, 1024),
-        1000 * f.whole("heartbeat_ms", 1, 3_600_000, 1500),
-        1000 * b.whole("contact_ms", 1, 3_600_000, 4000),
-        1000 * b.whole("drain_timer_ms", 1, 3_600_000, 2000),
-        (long) (1_000_000 * b.real("grace_s", 0.1, 6)),
-        b.real("retry_ratio", 0, 0.2),
-        b.real("retry_slack", 0, 0),
-        (long) (1_000_000 * b.real("retry_window_s", 0.1, 10)),
-        (long) (1_000_000 * b.real("key_window_s", 0, 60)),
-        f.text("log_level", "info"),
-        f.truth("eject_slow_workers", true),
-        (int) t.whole("machines", 0, 100, 1),
-        b.truth("revocation_global", false),
-        1000 * b.whole("revoke_timer_ms", 1, 3_600_000, 5000),
-        (long) (1_000_000 * b.real("quota_window_s", 0.1, 5)),
-        b.real("quota_excess", 0, 0.1),
-        b.real("quota_slack", 0, 0),
-        deployment(f),
-        serves(f, "storage"),
-        (long) (1_000_000 * b.real("status_s", 0, 60)),
-        (long) (1_000_000 * b.real("ceiling_window_s", 0.1, 5)),
-        b.real("ceiling_excess", 1, 1.1),
-        (int) l.whole("disk_mb", 0, 1 << 24, 256),
-        1000 * b.whole("max_hold_ms", 100, 3_600_000, 10_000),
-        1000 * b.whole("thaw_slack_ms", 0, 3_600_000, 300),
-        (int) t.whole("zones", 0, 100, 0),
-        (int) t.whole("regions", 0, 100, 0),
-        regions(f, o));
-  }
-
-  /** The region of each zone that the file names, the own one at least. */
-  private static Map<String, String> regions(JsonFields f, JsonObject o) throws ConfigException {
-    Map<String, String> out = new TreeMap<>();
-    if (f.has("region")) {
-      out.put(f.text("zone", "-"), f.text("region"));
-    }
-    if (f.has("zones")) {
-      JsonFields zones = f.object("zones");
-      for (String zone : o.getAsJsonObject("zones").keySet()) {
-        out.put(zone, zones.text(zone));
-      }
-    }
-    return Map.copyOf(out);
+  /** Returns the name of the node. */
+  public String nodeName() {
+    return node.name();
   }
 
-  private static String deployment(JsonFields f) throws ConfigException {
-    String d = f.text("deployment", "gateway");
-    if (!DEPLOYMENTS.contains(d)) {
-      throw new ConfigException(
-          f.at("deployment") + ": " + d + " is not known; gateway or queue is wanted");
-    }
-    return d;
+  /** Returns the address by which other nodes reach this one. */
+  public String ip() {
+    return node.ip();
   }
 
-  private static boolean serves(JsonFields f, String what) throws ConfigException {
-    if (!f.has("serves")) {
-      return false;
-    }
-    for (JsonElement e : f.array("serves")) {
-      if (e.isJsonPrimitive() && e.getAsString().equals(what)) {
-        return true;
-      }
-    }
-    return false;
+  /** Returns the zone, "-" if none was given. */
+  public String zone() {
+    return node.zone();
   }
 
-  private static String point(JsonFields points, String name) throws ConfigException {
-    if (!points.has(name)) {
-      return null;
-    }
-    String s = points.text(name);
-    int colon = s.lastIndexOf(':');
-    try {
-      int port = Integer.parseInt(s.substring(colon + 1));
-      if (colon < 1 || port < 1 || port > 65_535) {
-        throw new ConfigException(points.at(name) + ": address:port is wanted");
-      }
-    } catch (NumberFormatException e) {
-      throw new ConfigException(points.at(name) + ": address:port is wanted");
-    }
-    return s;
+  /** Returns the listen address for clients, or null. */
+  public String frontPoint() {
+    return node.listen().front();
   }
 
+  /** Returns the listen address for readiness checks, or null. */
+  public String readinessPoint() {
+    return node.listen().readiness();
+  }
+
+  /** Returns the listen address of the control API, or null. */
+  public String controlPoint() {
+    return node.listen().control();
+  }
+
+  /** Returns the address for messages from other nodes. */
   public String internalAddress() {
-    return ip + ":" + internalPort;
+    return node.ip() + ":" + node.internalPort();
+  }
+
+  /** Returns the internal addresses of the seeds. */
+  public List<String> seedAddresses() {
+    return node.seedAddresses();
+  }
+
+  /** Returns whether this may be the first start of the system. */
+  public boolean initialStart() {
+    return process.initialStart();
+  }
+
+  /** Returns the directory for durable data, or null if the node has no disk. */
+  public String dataDir() {
+    return process.dataDir();
+  }
+
+  /** Returns whether the node runs the message store. */
+  public boolean storage() {
+    return process.storage();
+  }
+
+  /** Returns the allowed number of file descriptors. */
+  public int fileDescriptors() {
+    return process.limits().fileDescriptors();
+  }
+
+  /** Returns the allowed disk space in megabytes. */
+  public int diskMb() {
+    return process.limits().diskMb();
+  }
+
+  /** Returns the level of the log. */
+  public String logLevel() {
+    return process.logLevel();
+  }
+
+  /** Returns whether slow workers get less weight. */
+  public boolean ejectSlow() {
+    return process.ejectSlow();
+  }
+
+  /** Returns the interval of worker heartbeats. */
+  public long heartbeatMicros() {
+    return timers.workers().heartbeatMicros();
+  }
+
+  /** Returns the longest time in which a leaving worker still gets requests. */
+  public long drainMicros() {
+    return timers.workers().drainMicros();
+  }
+
+  /** Returns the time after which a worker without heartbeats is lost. */
+  public long graceMicros() {
+    return timers.workers().graceMicros();
+  }
+
+  /** Returns the time in which an idempotency key is executed at most once. */
+  public long keyWindowMicros() {
+    return timers.keyWindowMicros();
+  }
+
+  /** Returns the time for which the outcome of a message is kept. */
+  public long statusMicros() {
+    return timers.statusMicros();
+  }
+
+  /** Returns the longest lease of a key range. */
+  public long holdMicros() {
+    return timers.maxHoldMicros();
+  }
+
+  /** Returns the longest time that a worker goes on after it was paused. */
+  public long thawMicros() {
+    return timers.thawMicros();
+  }
+
+  /** Returns the number of retries allowed for each first attempt. */
+  public double retryRatio() {
+    return retries.ratio();
+  }
+
+  /** Returns the number of retries allowed in a window besides. */
+  public double retrySlack() {
+    return retries.slack();
+  }
+
+  /** Returns the window of the retry budget. */
+  public long retryWindowMicros() {
+    return retries.windowMicros();
+  }
+
+  /** Returns the window over which a rate limit of tenants holds. */
+  public long quotaWindowMicros() {
+    return quota.windowMicros();
+  }
+
+  /** Returns the allowed excess over a rate limit, as a fraction of it. */
+  public double quotaExcess() {
+    return quota.excess();
+  }
+
+  /** Returns the allowed excess over a rate limit, in requests. */
+  public double quotaSlack() {
+    return quota.slack();
+  }
+
+  /** Returns the window over which a rate limit of services holds. */
+  public long ceilingWindowMicros() {
+    return quota.serviceWindowMicros();
+  }
+
+  /** Returns the largest allowed multiple of a service's rate limit. */
+  public double ceilingExcess() {
+    return quota.serviceExcess();
+  }
+
+  /** Returns whether the bound on the use of revoked access keys holds on all nodes. */
+  public boolean revocationGlobal() {
+    return revocation.global();
+  }
+
+  /** Returns the longest use of an access key after its revocation. */
+  public long revokeMicros() {
+    return revocation.timerMicros();
+  }
+
+  /** Returns the number of machines whose loss is tolerated. */
+  public int faults() {
+    return faultTolerance.machines();
+  }
+
+  /** Returns the number of zones whose loss is tolerated. */
+  public int zoneFaults() {
+    return faultTolerance.zones();
+  }
+
+  /** Returns the number of regions whose loss is tolerated. */
+  public int regionFaults() {
+    return faultTolerance.regions();
+  }
+
+  /** Returns the region of each zone that the file names. */
+  public Map<String, String> regionOf() {
+    return faultTolerance.regionOf();
   }
 }
--- a/src/main/java/org/otterpond/config/Route.java
+++ b/src/main/java/org/otterpond/config/Route.java
@@ -3,9 +3,20 @@
 import java.util.List;
 
 /**
- * One route. Times are in microseconds; aim 0 means that none was given. The last two are of
- * messages: whether they go in the order of their keys, and how long one is kept that cannot be
- * delivered.
+ * A route: which requests it matches and how they are served.
+ *
+ * @param name the name
+ * @param host host name in lower case
+ * @param prefix path prefix; starts and ends with a slash
+ * @param type which requests may be retried
+ * @param guardMicros deadline of a request
+ * @param aimMicros latency target; 0 means none
+ * @param priority priority of its requests; higher is served first
+ * @param targets the services with their weights, one at least
+ * @param maxAttempts most attempts of one request
+ * @param open whether requests need no access key
+ * @param ordered whether messages are delivered in the order of their keys
+ * @param keepMicros retention of messages that cannot be delivered; 0 if none was given
  */
 public record Route(
     String name,
@@ -21,23 +32,25 @@
     boolean ordered,
     long keepMicros) {
 
-  /** The service for a draw in [0, total weight). */
+  /**
+   * Returns the service for a random draw.
+   *
+   * @param draw from 0 to {@link #totalWeight}, without it
+   * @throws IllegalArgumentException if the draw is not below the total weight
+   */
   public String serviceFor(long draw) {
-    long left = draw;
-    for (RouteTarget t : targets) {
-      left -= t.weight();
-      if (left < 0) {
-        return t.service();
+    long remaining = draw;
+    for (RouteTarget target : targets) {
+      remaining -= target.weight();
+      if (remaining < 0) {
+        return target.service();
       }
     }
-    throw new IllegalArgumentException("draw outside the weights");
+    throw new IllegalArgumentException("draw " + draw + " is not below the total weight");
   }
 
+  /** Returns the sum of the weights of all targets. */
   public long totalWeight() {
-    long sum = 0;
-    for (RouteTarget t : targets) {
-      sum += t.weight();
-    }
-    return sum;
+    return targets.stream().mapToLong(RouteTarget::weight).sum();
   }
 }
--- a/src/main/java/org/otterpond/config/RouteType.java
+++ b/src/main/java/org/otterpond/config/RouteType.java
@@ -1,25 +1,36 @@
 package org.otterpond.config;
 
-/** What may be repeated on a route. */
+import java.util.Map;
+
+/** Which requests of a route may be retried, and how. */
 public enum RouteType {
+  /** Every request may be retried. */
   IDEMPOTENT,
+  /** A request may be retried only if it provably did not reach a worker. */
   NON_IDEMPOTENT,
+  /** Each idempotency key is executed at most once within its window. */
   KEYED,
+  /** Requests are messages: accepted durably and delivered later. */
   ASYNCHRONOUS;
 
-  static RouteType of(String word, String at) throws ConfigException {
-    switch (word) {
-      case "idempotent":
-        return IDEMPOTENT;
-      case "non_idempotent":
-        return NON_IDEMPOTENT;
-      case "keyed":
-        return KEYED;
-      case "asynchronous":
-        return ASYNCHRONOUS;
-      default:
-        throw new ConfigException(
-            at + ": idempotent, non_idempotent, keyed or asynchronous is wanted");
+  private static final Map<String, RouteType> BY_SETTING =
+      Map.of(
+          "idempotent", IDEMPOTENT,
+          "non_idempotent", NON_IDEMPOTENT,
+          "keyed", KEYED,
+          "asynchronous", ASYNCHRONOUS);
+
+  /**
+   * Returns the type of a {@code route_type} field.
+   *
+   * @param path path of the field, for the error
+   */
+  static RouteType of(String setting, String path) throws ConfigException {
+    RouteType type = BY_SETTING.get(setting);
+    if (type == null) {
+      throw new ConfigException(
+          path + ": must be idempotent, non_idempotent, keyed or asynchronous");
     }
+    return type;
   }
 }
--- a/src/main/java/org/otterpond/config/Service.java
+++ b/src/main/java/org/otterpond/config/Service.java
@@ -1,8 +1,16 @@
 package org.otterpond.config;
 
 /**
- * One service that workers register for, or that is one endpoint at a fixed address (null if it is
- * not). A rate of 0 means that it may get as much as there is.
+ * A service: workers that register for it, or one fixed endpoint.
+ *
+ * @param name the name
+ * @param healthPath path of the health check
+ * @param maxConnections most connections of a node to one worker
+ * @param dedupCapable whether its workers recognize a retry by its idempotency key
+ * @param ratePerSecond rate limit of the service; 0 means none
+ * @param fixedEndpoint {@code address:port} of the only endpoint; null if workers register
+ * @param partitioned whether key ranges are leased to its workers
+ * @param warmupMicros duration of the slow start of a new worker; 0 means none
  */
 public record Service(
     String name,
