--- a/src/test/java/org/otterpond/protocol/GoldenMessagesTest.java
+++ b/src/test/java/org/otterpond/protocol/GoldenMessagesTest.java
@@ -12,10 +12,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.function.Executable;
 
-/**
- * Messages and records that an earlier version encoded are read as they were meant, and encoded to
- * the same bytes.
- */
+/** The codec reads what an earlier version encoded, and encodes it to the same bytes. */
 class GoldenMessagesTest {
   /** Every kind that the code of commit e87432b encodes, by itself or inside another. */
   private static final Set<String> KINDS =
@@ -106,43 +103,27 @@
           "worker",
           "working");
 
-  private record Sample(String kind, List<String> fields, byte[] bytes) {
-    static Sample of(String line) {
-      String[] columns = line.split("\t", -1);
-      List<String> fields = columns[1].isEmpty() ? List.of() : List.of(columns[1].split(","));
-      return new Sample(columns[0], fields, HexFormat.of().parseHex(columns[2]));
-    }
-
-    WireRecord decoded() throws ProtocolException {
-      return WireRecordCodec.decode(bytes, 0, bytes.length);
-    }
-  }
-
-  private static List<Sample> samples() {
-    return Fixtures.lines("messages.txt").stream().map(Sample::of).toList();
-  }
-
-  private static Stream<Executable> each(SampleCheck check) {
-    return samples().stream().map(sample -> () -> check.check(sample));
+  private static Stream<Executable> forEachSample(SampleCheck check) {
+    return GoldenMessages.samples().stream().map(sample -> () -> check.check(sample));
   }
 
   private interface SampleCheck {
-    void check(Sample sample) throws ProtocolException;
+    void check(GoldenMessages.Sample sample) throws ProtocolException;
   }
 
   private static void addKinds(Object value, Set<String> kinds) {
     if (value instanceof Map<?, ?> nested) {
       kinds.add((String) nested.get("_"));
-      nested.values().forEach(v -> addKinds(v, kinds));
+      nested.values().forEach(field -> addKinds(field, kinds));
     } else if (value instanceof List<?> list) {
-      list.forEach(v -> addKinds(v, kinds));
+      list.forEach(element -> addKinds(element, kinds));
     }
   }
 
   @Test
   void givenEncodedMessage_whenDecoded_thenKindAndFieldNamesAreThose() {
     assertAll(
-        each(
+        forEachSample(
             sample -> {
               WireRecord decoded = sample.decoded();
               assertEquals(sample.kind(), decoded.kind());
@@ -154,7 +135,7 @@
   void givenDecodedMessage_whenEncodedAgain_thenBytesAreTheSame() {
     HexFormat hex = HexFormat.of();
     assertAll(
-        each(
+        forEachSample(
             sample ->
                 assertEquals(
                     hex.formatHex(sample.bytes()),
@@ -165,7 +146,7 @@
   @Test
   void givenAllKindsOfTheCode_whenSamplesAreSearched_thenEachIsThere() throws ProtocolException {
     Set<String> found = new TreeSet<>();
-    for (Sample sample : samples()) {
+    for (GoldenMessages.Sample sample : GoldenMessages.samples()) {
       addKinds(sample.decoded().asMap(), found);
     }
     Set<String> missing = new TreeSet<>(KINDS);
