--- a/src/main/java/org/otterpond/control/epoch/SnapshotReceiver.java
+++ b/src/main/java/org/otterpond/control/epoch/SnapshotReceiver.java
@@ -1,45 +1,45 @@
 package org.otterpond.control.epoch;
 
 import java.io.ByteArrayOutputStream;
-import org.otterpond.protocol.WireRecord;
+import org.otterpond.control.epoch.message.SnapshotChunk;
 
 /**
- * A snapshot that arrives in numbered pieces. It is worth nothing before it is whole: the state in
- * force stays as it is, and where a piece is missing none after it is taken.
+ * Receives one snapshot in numbered chunks. It counts for nothing before it is complete: the state
+ * in force stays as it is, and no chunk after a missing one is taken.
  */
 final class SnapshotReceiver {
-  /** No state that a node can hold is packed larger. */
-  private static final int MOST = 40 << 20;
+  /** No state that a node can hold is larger when packed. */
+  private static final int MAX_BYTES = 40 << 20;
 
-  private final long number;
-  private final ByteArrayOutputStream bytes = new ByteArrayOutputStream();
-  private int held;
-  private int pieces;
+  private final long snapshotNumber;
+  private final ByteArrayOutputStream received = new ByteArrayOutputStream();
+  private int receivedChunks;
+  private int chunkCount;
 
-  SnapshotReceiver(long number) {
-    this.number = number;
+  SnapshotReceiver(long snapshotNumber) {
+    this.snapshotNumber = snapshotNumber;
   }
 
-  boolean of(long snapshot) {
-    return number == snapshot;
+  boolean isFor(long otherSnapshotNumber) {
+    return snapshotNumber == otherSnapshotNumber;
   }
 
-  /** Takes the piece if it is the next one; how many are held then. */
-  int take(WireRecord piece) {
-    byte[] next = piece.bytes("bytes");
-    if (piece.number("piece") == held && !whole() && bytes.size() + next.length <= MOST) {
-      bytes.writeBytes(next);
-      pieces = (int) piece.number("of");
-      held++;
+  /** Takes the chunk if it is the next one; returns how many have been received then. */
+  int receive(SnapshotChunk chunk) {
+    boolean fits = received.size() + chunk.content().length <= MAX_BYTES;
+    if (chunk.index() == receivedChunks && !isComplete() && fits) {
+      received.writeBytes(chunk.content());
+      chunkCount = chunk.count();
+      receivedChunks++;
     }
-    return held;
+    return receivedChunks;
   }
 
-  boolean whole() {
-    return held > 0 && held == pieces;
+  boolean isComplete() {
+    return receivedChunks > 0 && receivedChunks == chunkCount;
   }
 
-  byte[] packed() {
-    return bytes.toByteArray();
+  byte[] packedState() {
+    return received.toByteArray();
   }
 }
--- a/src/main/java/org/otterpond/control/epoch/SnapshotSender.java
+++ b/src/main/java/org/otterpond/control/epoch/SnapshotSender.java
@@ -5,103 +5,101 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
+import org.otterpond.control.epoch.message.SnapshotChunk;
 import org.otterpond.protocol.CompressedPayload;
 import org.otterpond.protocol.WireRecord;
 
 /**
- * One snapshot on its way to the backups of a coming epoch, in numbered pieces. A few pieces are
- * out to each at a time, so that a slow link holds little that waits, and each acknowledgement
- * shows that the copy goes on.
+ * Divides one snapshot into numbered chunks and decides which of them each receiver is sent when.
+ * Only a window of them is in flight to each, so that a slow link has little queued, and each
+ * acknowledgement shows that the transfer goes on.
  */
 final class SnapshotSender {
-  private static final int PIECE = 32 * 1024;
-  private static final int LEAST_WINDOW = 2;
-  private static final int LARGEST_WINDOW = 24;
+  private static final int CHUNK_BYTES = 32 * 1024;
+  private static final int MIN_WINDOW_CHUNKS = 2;
+  private static final int MAX_WINDOW_CHUNKS = 24;
 
-  /**
-   * What is out to a receiver should arrive within this: other messages go the same way and wait
-   * behind it.
-   */
-  private static final long FAST = 150_000;
+  /** The window grows only while chunks arrive within it: other messages queue behind them. */
+  private static final long FAST_RESPONSE_MICROS = 150_000;
 
-  private final long number;
-  private final byte[] packed;
-  private final int pieces;
+  private final long snapshotNumber;
+  private final byte[] packedState;
+  private final int chunkCount;
   private final Map<String, Progress> receivers = new HashMap<>();
 
   private static final class Progress {
-    /** How many pieces the receiver holds, from the first on. */
-    int held;
+    /** How many chunks the receiver has, from the first on. */
+    int received;
 
     int sent;
-    int window = LEAST_WINDOW;
+    int window = MIN_WINDOW_CHUNKS;
     long heardAt;
     final Map<Integer, Long> sentAt = new HashMap<>();
   }
 
   /**
-   * @param number names this snapshot, so that pieces of two are never put together
+   * Packs the state.
+   *
+   * @param snapshotNumber names this snapshot, so that chunks of two are never combined
    */
-  SnapshotSender(long number, WireRecord state) {
-    this.number = number;
-    this.packed = CompressedPayload.pack(state);
-    this.pieces = (packed.length + PIECE - 1) / PIECE;
-  }
-
-  int size() {
-    return packed.length;
+  SnapshotSender(long snapshotNumber, WireRecord state) {
+    this.snapshotNumber = snapshotNumber;
+    this.packedState = CompressedPayload.pack(state);
+    this.chunkCount = (packedState.length + CHUNK_BYTES - 1) / CHUNK_BYTES;
   }
 
-  /** The pieces to be sent to this receiver now. */
-  List<WireRecord> due(String receiver, long now) {
-    Progress p = receivers.computeIfAbsent(receiver, r -> new Progress());
-    if (p.sent == 0) {
-      p.heardAt = now;
+  /** Returns the chunks to be sent to this receiver now. */
+  List<SnapshotChunk> nextChunks(String receiver, long now) {
+    Progress progress = receivers.computeIfAbsent(receiver, r -> new Progress());
+    if (progress.sent == 0) {
+      progress.heardAt = now;
     }
-    List<WireRecord> out = new ArrayList<>();
-    while (p.sent < pieces && p.sent < p.held + p.window) {
-      p.sentAt.put(p.sent, now);
-      out.add(piece(p.sent++));
+    List<SnapshotChunk> chunks = new ArrayList<>();
+    while (progress.sent < chunkCount && progress.sent < progress.received + progress.window) {
+      progress.sentAt.put(progress.sent, now);
+      chunks.add(chunk(progress.sent++));
     }
-    return out;
+    return chunks;
   }
 
-  /**
-   * One piece again, if the receiver has said nothing for so long: what was out to it may be lost.
-   */
-  List<WireRecord> again(String receiver, long now, long patience) {
-    Progress p = receivers.get(receiver);
-    if (p == null || now - p.heardAt < patience) {
+  /** Returns the first missing chunk if the receiver has been silent for the time-out. */
+  List<SnapshotChunk> chunksToResend(String receiver, long now, long timeoutMicros) {
+    Progress progress = receivers.get(receiver);
+    if (progress == null || now - progress.heardAt < timeoutMicros) {
       return List.of();
     }
-    p.heardAt = now;
-    int at = Math.min(p.held, pieces - 1);
-    p.sent = at + 1;
-    p.window = LEAST_WINDOW;
-    return List.of(piece(at));
+    progress.heardAt = now;
+    int index = Math.min(progress.received, chunkCount - 1);
+    progress.sent = index + 1;
+    progress.window = MIN_WINDOW_CHUNKS;
+    return List.of(chunk(index));
   }
 
-  /** The receiver says how many pieces it holds. Whether that is more than before. */
-  boolean acknowledged(String receiver, long snapshot, int held, long now) {
-    Progress p = receivers.get(receiver);
-    if (p == null || snapshot != number || held <= p.held || held > pieces) {
+  /** Takes the number of chunks that the receiver has; true if that is more than before. */
+  boolean acknowledged(String receiver, long ofSnapshot, int received, long now) {
+    Progress progress = receivers.get(receiver);
+    if (progress == null
+        || ofSnapshot != snapshotNumber
+        || received <= progress.received
+        || received > chunkCount) {
       return false;
     }
-    boolean fast = now - p.sentAt.getOrDefault(held - 1, 0L) < FAST;
-    p.window = fast ? Math.min(LARGEST_WINDOW, p.window + 1) : Math.max(LEAST_WINDOW, p.window - 1);
-    p.sentAt.keySet().removeIf(piece -> piece < held);
-    p.held = held;
-    p.sent = Math.max(p.sent, held);
-    p.heardAt = now;
+    boolean fast = now - progress.sentAt.getOrDefault(received - 1, 0L) < FAST_RESPONSE_MICROS;
+    progress.window =
+        fast
+            ? Math.min(MAX_WINDOW_CHUNKS, progress.window + 1)
+            : Math.max(MIN_WINDOW_CHUNKS, progress.window - 1);
+    progress.sentAt.keySet().removeIf(index -> index < received);
+    progress.received = received;
+    progress.sent = Math.max(progress.sent, received);
+    progress.heardAt = now;
     return true;
   }
 
-  private WireRecord piece(int at) {
-    int from = at * PIECE;
-    return new WireRecord("snappiece")
-        .with("snapshot", number)
-        .with("piece", at)
-        .with("of", pieces)
-        .with("bytes", Arrays.copyOfRange(packed, from, Math.min(packed.length, from + PIECE)));
+  private SnapshotChunk chunk(int index) {
+    int from = index * CHUNK_BYTES;
+    int to = Math.min(packedState.length, from + CHUNK_BYTES);
+    return new SnapshotChunk(
+        snapshotNumber, index, chunkCount, Arrays.copyOfRange(packedState, from, to));
   }
 }
--- a/src/test/java/org/otterpond/architecture/PackageDependenciesTest.java
+++ b/src/test/java/org/otterpond/architecture/PackageDependenciesTest.java
@@ -28,6 +28,7 @@
           "replication",
           "control.state",
           "control.bootstrap",
+          "control.epoch.message",
           "control.epoch",
           "control.primary",
           "control.agent",
--- a/src/test/java/org/otterpond/control/epoch/CoreLogFixtureTest.java
+++ b/src/test/java/org/otterpond/control/epoch/CoreLogFixtureTest.java
@@ -10,6 +10,7 @@
 import org.junit.jupiter.api.io.TempDir;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
+import org.otterpond.control.epoch.message.AcceptRecord;
 import org.otterpond.control.primary.ReplicaPlacement;
 import org.otterpond.control.state.CoreMember;
 import org.otterpond.control.state.EpochRecord;
@@ -80,7 +81,7 @@
     hold.assignments().all().values().forEach(a -> lines.add("assignment " + RecordText.of(a)));
     lines.add("claims " + hold.claimCount());
     for (String line : expected) {
-      String[] words = line.split(" ");
+      String[] words = line.split(" ", -1);
       if (words[0].equals("claim") && hold.claim(words[1]) != null) {
         IdempotencyKeyLock claim = hold.claim(words[1]);
         lines.add("claim " + words[1] + " " + claim.token() + " " + claim.holder());
@@ -138,8 +139,7 @@
   private static WireRecord writtenAgain(WireRecord record) {
     String key = record.kind().equals("assign") ? record.text("key") : "";
     if (record.kind().equals("accept")) {
-      return new WireRecord("accept")
-          .with("record", EpochRecord.of(record.nested("record")).toWireRecord());
+      return new AcceptRecord(EpochRecord.of(record.nested("record"))).toWireRecord();
     }
     if (record.kind().equals("worker")) {
       return WorkerInstance.of(record, 0).toWireRecord("worker", 0);
--- a/src/test/java/org/otterpond/control/epoch/ManualRuntime.java
+++ b/src/test/java/org/otterpond/control/epoch/ManualRuntime.java
@@ -37,10 +37,12 @@
     now = until;
   }
 
+  /** Returns the messages sent, in their order. */
   public List<WireRecord> sent() {
     return sent;
   }
 
+  /** Returns the log lines, in their order. */
   public List<String> events() {
     return events;
   }
--- a/src/test/java/org/otterpond/control/epoch/SnapshotTransferTest.java
+++ b/src/test/java/org/otterpond/control/epoch/SnapshotTransferTest.java
@@ -54,7 +54,7 @@
    * and dies.
    */
   @Test
-  void memberWithHalfASnapshotKeepsWhatItHeldAndNeverLeads() {
+  void memberWithPartOfSnapshotKeepsItsStateAndNeverLeads() {
     BandwidthLimitedCore c = new BandwidthLimitedCore(3, 1, 1000);
     c.claims(20_000);
     c.megabits(5);
@@ -114,13 +114,14 @@
     WireRecord state = new WireRecord("state").with("text", "x".repeat(10));
     SnapshotSender a = new SnapshotSender(1, state);
     SnapshotReceiver r = new SnapshotReceiver(1);
-    assertEquals(1, r.take(a.due("d", 0).get(0)));
-    assertTrue(r.whole());
-    assertFalse(r.of(2));
-    assertEquals(1, r.take(a.again("d", 10, 5).get(0)), "a piece that came twice is taken once");
+    assertEquals(1, r.receive(a.nextChunks("d", 0).get(0)));
+    assertTrue(r.isComplete());
+    assertFalse(r.isFor(2));
+    assertEquals(
+        1, r.receive(a.chunksToResend("d", 10, 5).get(0)), "a chunk that came twice is taken once");
     assertFalse(a.acknowledged("d", 2, 1, 20));
     assertTrue(a.acknowledged("d", 1, 1, 20));
-    assertFalse(new SnapshotReceiver(1).whole(), "nothing is not a whole snapshot");
+    assertFalse(new SnapshotReceiver(1).isComplete(), "nothing is not a complete snapshot");
   }
 
   /**
