--- a/src/test/java/org/otterpond/architecture/PackageDependenciesTest.java
+++ b/src/test/java/org/otterpond/architecture/PackageDependenciesTest.java
@@ -27,6 +27,7 @@
           "keyrange",
           "replication",
           "control.state",
+          "control.message",
           "control.bootstrap",
           "control.epoch",
           "control.primary",
