--- a/src/main/java/org/otterpond/control/message/AssignmentUpdate.java
+++ b/src/main/java/org/otterpond/control/message/AssignmentUpdate.java
@@ -1,7 +1,6 @@
 package org.otterpond.control.message;
 
 import java.util.List;
-import org.otterpond.control.state.CompressedBytes;
 import org.otterpond.protocol.ProtocolException;
 import org.otterpond.protocol.WireRecord;
 
--- a/src/main/java/org/otterpond/control/state/CompressedBytes.java
+++ b/src/main/java/org/otterpond/control/message/CompressedBytes.java
@@ -1,4 +1,4 @@
-package org.otterpond.control.state;
+package org.otterpond.control.message;
 
 import java.util.Arrays;
 import org.otterpond.protocol.CompressedPayload;
--- a/src/main/java/org/otterpond/control/state/ConfigurationChange.java
+++ b/src/main/java/org/otterpond/control/message/ConfigurationChange.java
@@ -1,4 +1,4 @@
-package org.otterpond.control.state;
+package org.otterpond.control.message;
 
 import org.otterpond.protocol.Encodable;
 import org.otterpond.protocol.ProtocolException;
--- a/src/main/java/org/otterpond/control/state/ConfigurationUpdate.java
+++ b/src/main/java/org/otterpond/control/message/ConfigurationUpdate.java
@@ -1,8 +1,9 @@
-package org.otterpond.control.state;
+package org.otterpond.control.message;
 
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
+import org.otterpond.protocol.Encodable;
 import org.otterpond.protocol.ProtocolException;
 import org.otterpond.protocol.WireRecord;
 
@@ -15,7 +16,7 @@
  * @param changes the changes in their order; empty if the update is the complete text
  */
 public record ConfigurationUpdate(
-    long revision, CompressedBytes text, List<ConfigurationChange> changes) {
+    long revision, CompressedBytes text, List<ConfigurationChange> changes) implements Encodable {
   private static final String REVISION = "cfg";
   private static final String TEXT = "text";
   private static final String CHANGES = "changes";
@@ -37,7 +38,7 @@
   }
 
   /** Whether a message carries an update. */
-  public static boolean isIn(WireRecord message) {
+  static boolean isIn(WireRecord message) {
     return message.has(REVISION);
   }
 
@@ -71,8 +72,16 @@
     return text != null;
   }
 
+  /** Returns a poll response that carries nothing but the update, as the parser takes it. */
+  @Override
+  public WireRecord toWireRecord() {
+    WireRecord response = new WireRecord(PollResponse.KIND);
+    addTo(response);
+    return response;
+  }
+
   /** Adds the fields of the update to a message. */
-  public void addTo(WireRecord message) {
+  void addTo(WireRecord message) {
     message.with(REVISION, revision);
     if (text != null) {
       message.with(TEXT, text.bytes());
--- a/src/main/java/org/otterpond/control/message/PollResponse.java
+++ b/src/main/java/org/otterpond/control/message/PollResponse.java
@@ -1,7 +1,6 @@
 package org.otterpond.control.message;
 
 import java.util.Optional;
-import org.otterpond.control.state.ConfigurationUpdate;
 import org.otterpond.protocol.Encodable;
 import org.otterpond.protocol.ProtocolException;
 import org.otterpond.protocol.WireRecord;
--- a/src/main/java/org/otterpond/control/message/WriteConfigurationRequest.java
+++ b/src/main/java/org/otterpond/control/message/WriteConfigurationRequest.java
@@ -1,6 +1,5 @@
 package org.otterpond.control.message;
 
-import org.otterpond.control.state.CompressedBytes;
 import org.otterpond.protocol.ProtocolException;
 import org.otterpond.protocol.WireRecord;
 
--- /dev/null
+++ b/src/main/java/org/otterpond/control/state/ConfigurationParsing.java
@@ -0,0 +1,28 @@
+package org.otterpond.control.state;
+
+import org.otterpond.runtime.NodeRuntime;
+
+/**
+ * Decides where a configuration is parsed. A node that parses a long one on its owner thread
+ * answers no heartbeat meanwhile, and would be taken for dead by its peers.
+ */
+public final class ConfigurationParsing {
+  private ConfigurationParsing() {}
+
+  /**
+   * Parses a configuration: a long one off the owner thread, a short one at once.
+   *
+   * @param runtime the node's runtime
+   * @param isLong whether parsing takes long, see {@link ParsedConfiguration#isLong}
+   * @param parser the work, which touches no state of the owner thread
+   * @param then runs on the owner thread afterwards; for a short one before this method returns
+   */
+  public static void run(NodeRuntime runtime, boolean isLong, Runnable parser, Runnable then) {
+    if (isLong) {
+      runtime.apart(parser, then);
+    } else {
+      parser.run();
+      then.run();
+    }
+  }
+}
--- a/src/test/java/org/otterpond/control/message/MessageSamplesTest.java
+++ b/src/test/java/org/otterpond/control/message/MessageSamplesTest.java
@@ -13,7 +13,6 @@
 import java.util.Set;
 import java.util.TreeSet;
 import org.junit.jupiter.api.Test;
-import org.otterpond.control.state.ConfigurationChange;
 import org.otterpond.protocol.Encodable;
 import org.otterpond.protocol.Fixtures;
 import org.otterpond.protocol.ProtocolException;
