--- a/src/main/java/org/otterpond/control/agent/ActiveConfiguration.java
+++ b/src/main/java/org/otterpond/control/agent/ActiveConfiguration.java
@@ -10,95 +10,117 @@
 import org.otterpond.runtime.NodeRuntime;
 
 /**
- * The configuration in force on a node, and what is on its way into force. A long one is read
- * beside the owner thread, one at a time and in the order of the news: a node that reads on its
- * owner thread answers no ping meanwhile, and a healthy member of the core would be taken for dead.
+ * The configuration in use on a node, and the updates that are being parsed.
+ *
+ * <p>Updates are parsed one at a time, in the order of their arrival, and long ones off the owner
+ * thread: otherwise a core member would answer no ping meanwhile and be taken for failed. All
+ * methods are called on the owner thread.
  */
 final class ActiveConfiguration {
   private final NodeRuntime runtime;
-  private final Consumer<GatewayConfiguration> use;
-  private final Deque<Told> waiting = new ArrayDeque<>();
-  private ConfigurationUpdateParser reading;
-  private ParsedConfiguration held = ParsedConfiguration.NONE;
-  private long told;
-  private boolean wantsWhole;
+  private final Consumer<GatewayConfiguration> onApplied;
+  private final Deque<PendingUpdate> pending = new ArrayDeque<>();
+  private boolean parsing;
+  private ParsedConfiguration current = ParsedConfiguration.NONE;
+  private long newestReceived;
+  private boolean needsFullText;
 
-  private record Told(WireRecord news, ParsedConfiguration known) {}
+  /**
+   * An update that has not been applied.
+   *
+   * @param parsed its parsed form if this node has it already, else null
+   */
+  private record PendingUpdate(WireRecord update, ParsedConfiguration parsed) {}
 
-  ActiveConfiguration(NodeRuntime runtime, Consumer<GatewayConfiguration> use) {
+  /**
+   * Creates the holder, with no configuration in use.
+   *
+   * @param onApplied called with each configuration that comes into use
+   */
+  ActiveConfiguration(NodeRuntime runtime, Consumer<GatewayConfiguration> onApplied) {
     this.runtime = runtime;
-    this.use = use;
+    this.onApplied = onApplied;
   }
 
-  ParsedConfiguration held() {
-    return held;
+  /** The configuration in use; {@link ParsedConfiguration#NONE} before the first. */
+  ParsedConfiguration current() {
+    return current;
   }
 
-  /** The newest version that was told, in force or about to be: what a poll need not ask for. */
-  long told() {
-    return told;
+  /** The newest revision that was received, in use or being parsed. */
+  long newestReceived() {
+    return newestReceived;
   }
 
-  /** Whether changes told could not be applied here, so that the whole is asked for. */
-  boolean wantsWhole() {
-    return wantsWhole;
+  /** Whether changes could not be applied here, so that a poll asks for the full text. */
+  boolean needsFullText() {
+    return needsFullText;
   }
 
-  /** Takes news; changes to another base are passed over, the next poll says what is held. */
-  void take(WireRecord news, ParsedConfiguration known) {
-    if (news.number("cfg") > told) {
-      told = news.number("cfg");
-      waiting.add(new Told(news, known));
-      readNext();
+  /**
+   * Takes an update unless a newer one has been received.
+   *
+   * @param parsed its parsed form if this node has it already, else null
+   */
+  void receive(WireRecord update, ParsedConfiguration parsed) {
+    long revision = update.number("cfg");
+    if (revision > newestReceived) {
+      newestReceived = revision;
+      pending.add(new PendingUpdate(update, parsed));
+      applyPending();
     }
   }
 
-  private void readNext() {
-    while (reading == null && !waiting.isEmpty()) {
-      Told t = waiting.poll();
-      if (t.known() != null) {
-        begin(t.known());
-        continue;
-      }
-      ConfigurationUpdateParser r = new ConfigurationUpdateParser(t.news(), held);
-      if (r.isLong()) {
-        reading = r;
-        runtime.apart(
-            r,
-            () -> {
-              reading = null;
-              taken(r);
-              readNext();
-            });
+  private void applyPending() {
+    while (!parsing && !pending.isEmpty()) {
+      PendingUpdate next = pending.poll();
+      if (next.parsed() != null) {
+        apply(next.parsed());
       } else {
-        r.run();
-        taken(r);
+        parse(new ConfigurationUpdateParser(next.update(), current));
       }
     }
   }
 
-  private void taken(ConfigurationUpdateParser r) {
-    if (r.result() != null) {
-      begin(r.result());
+  private void parse(ConfigurationUpdateParser parser) {
+    if (!parser.isLong()) {
+      parser.run();
+      onParsed(parser);
+      return;
+    }
+    parsing = true;
+    runtime.apart(
+        parser,
+        () -> {
+          parsing = false;
+          onParsed(parser);
+          applyPending();
+        });
+  }
+
+  private void onParsed(ConfigurationUpdateParser parser) {
+    if (parser.result() != null) {
+      apply(parser.result());
       return;
     }
-    // What waits may build on it.
-    waiting.clear();
-    told = held.revision();
-    if (r.cause() != null) {
+    // Pending updates may build on the one that failed: the next poll asks for all of them again.
+    pending.clear();
+    newestReceived = current.revision();
+    if (parser.cause() != null) {
+      WireRecord update = parser.news();
       runtime.event(
           "event=configuration_unreadable revision="
-              + r.news().number("cfg")
+              + update.number("cfg")
               + " cause="
-              + r.cause());
-      wantsWhole = !r.news().has("text");
+              + parser.cause());
+      needsFullText = !update.has("text");
     }
   }
 
-  private void begin(ParsedConfiguration c) {
-    use.accept(c.checked());
-    held = c;
-    wantsWhole = false;
-    runtime.event("event=configuration_in_force revision=" + c.revision());
+  private void apply(ParsedConfiguration configuration) {
+    onApplied.accept(configuration.checked());
+    current = configuration;
+    needsFullText = false;
+    runtime.event("event=configuration_applied revision=" + configuration.revision());
   }
 }
--- a/src/main/java/org/otterpond/control/agent/NodeIdentity.java
+++ b/src/main/java/org/otterpond/control/agent/NodeIdentity.java
@@ -3,8 +3,17 @@
 import java.util.List;
 
 /**
- * Who this process is. The disk identity is null where no disk holds the core's state, the store
- * identity where none holds messages.
+ * The identity of one node process.
+ *
+ * @param address host and port at which other nodes reach this one
+ * @param name the name in the settings, for people
+ * @param zone the failure domain of the machine
+ * @param diskId the identity of the disk that holds the core's state, or null if there is none
+ * @param blankDisk whether that disk was empty when the process started
+ * @param firstStart whether the settings say that the system starts for the first time
+ * @param seeds addresses of the seed nodes
+ * @param incarnation a random number that names this process among those of the same address
+ * @param storeId the identity of the disk that stores messages, or null if there is none
  */
 public record NodeIdentity(
     String address,
@@ -12,20 +21,30 @@
     String zone,
     String diskId,
     boolean blankDisk,
-    boolean firstLife,
+    boolean firstStart,
     List<String> seeds,
-    long life,
+    long incarnation,
     String storeId) {
-  /** A node that stores no messages. */
+  private static final long REQUEST_ID_BITS = 0xffff_ffff_0000L;
+
+  /** Creates the identity of a node that stores no messages. */
   public NodeIdentity(
       String address,
       String name,
       String zone,
       String diskId,
       boolean blankDisk,
-      boolean firstLife,
+      boolean firstStart,
       List<String> seeds,
-      long life) {
-    this(address, name, zone, diskId, blankDisk, firstLife, seeds, life, null);
+      long incarnation) {
+    this(address, name, zone, diskId, blankDisk, firstStart, seeds, incarnation, null);
+  }
+
+  /**
+   * The number below the first request identifier of this incarnation; the ranges of two
+   * incarnations hardly ever meet.
+   */
+  long requestIdBase() {
+    return incarnation & REQUEST_ID_BITS;
   }
 }
--- a/src/main/java/org/otterpond/control/agent/QuotaCache.java
+++ b/src/main/java/org/otterpond/control/agent/QuotaCache.java
@@ -1,8 +1,6 @@
 package org.otterpond.control.agent;
 
-import java.util.ArrayDeque;
 import java.util.ArrayList;
-import java.util.Iterator;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
@@ -10,289 +8,256 @@
 import org.otterpond.runtime.NodeRuntime;
 
 /**
- * This node's tokens of the tenants' quotas, lent by the one owner at the core. A token is used for
- * one run of one request; none is used later than the lending time after it was asked for. The
- * running totals of what is used, given back or expired go with every ask, so the owner knows what
- * may still be out.
+ * This node's cache of quota tokens, which the quota owner on the primary lends for a limited time.
+ *
+ * <p>One token admits one execution of one request. None is used later than the lending time after
+ * it was asked for. Each request to the owner carries running totals of the tokens that were used,
+ * returned or have expired, so the owner knows how many may be outstanding. Used by the owner
+ * thread only.
  */
 public final class QuotaCache {
-  private static final long GATHER = 2_000;
-  private static final long REPORT = 150_000;
-  private static final long ANSWER = 300_000;
-  private static final long AGAIN_LEAST = 20_000;
-  private static final long AGAIN_MOST = 120_000;
-  private static final long PACE = 1_000_000;
-  private static final int MOST_SPARE = 8;
+  /** Requests for tokens are collected for this long. */
+  private static final long COLLECT_MICROS = 2_000;
+
+  private static final long REPORT_DELAY_MICROS = 150_000;
+  private static final long REQUEST_TIMEOUT_MICROS = 300_000;
+  private static final long REQUEST_RESEND_MICROS = 2 * REQUEST_TIMEOUT_MICROS;
+  private static final long MIN_RETRY_MICROS = 20_000;
+  private static final long MAX_RETRY_MICROS = 120_000;
+  private static final double MIN_RETRY_AFTER_SECONDS = 0.3;
+  private static final double MAX_RETRY_AFTER_SECONDS = 5;
+  private static final double MICROS_PER_SECOND = 1e6;
+
+  /** The result of a grant after which there is no reason to ask again. */
+  private static final long NO_RETRY = Long.MAX_VALUE;
 
   private final NodeRuntime runtime;
-  private final ControlPlaneAgent node;
-  private final long lentMicros;
-  private final Map<String, Shelf> shelves = new LinkedHashMap<>();
-  private long term;
-  private boolean asking;
-  private boolean askDue;
-  private boolean reportDue;
+  private final ForwardedRequests requests;
+  private final long incarnation;
+  private final long lendingMicros;
+  private final Map<String, TenantTokens> tenants = new LinkedHashMap<>();
+
+  /** The owner's term to which the tokens and totals belong. */
+  private long ownerTerm;
 
-  /** Somebody who waits for a token. */
+  private boolean requestPending;
+  private boolean requestScheduled;
+  private boolean reportScheduled;
+
+  /** A caller that waits for a token. */
   public interface Taker {
-    /** Whether it wants one still. */
+    /** Whether the caller still wants a token. */
     boolean waits();
 
+    /** A token has been used for the caller. */
     void taken();
 
+    /** The tenant is over its quota; the caller should retry after this many seconds. */
     void over(double retryAfter);
   }
 
-  private record Lot(long expires, int[] count) {}
-
-  private static final class Shelf {
-    final String tenant;
-    final ArrayDeque<Lot> lots = new ArrayDeque<>();
-    final ArrayDeque<Taker> takers = new ArrayDeque<>();
-    long used;
-    long returned;
-    long reported;
-    int recent;
-    int pace;
-    long paceFrom;
-    long lastUse;
-
-    Shelf(String tenant) {
-      this.tenant = tenant;
-    }
-
-    int held() {
-      int n = 0;
-      for (Lot l : lots) {
-        n += l.count()[0];
-      }
-      return n;
-    }
-  }
-
-  QuotaCache(NodeRuntime runtime, ControlPlaneAgent node, long lentMicros) {
+  /**
+   * Creates an empty cache.
+   *
+   * @param incarnation names this process to the quota owner
+   * @param lendingMicros for how long after the request a token may be used
+   */
+  QuotaCache(
+      NodeRuntime runtime, ForwardedRequests requests, long incarnation, long lendingMicros) {
     this.runtime = runtime;
-    this.node = node;
-    this.lentMicros = lentMicros;
+    this.requests = requests;
+    this.incarnation = incarnation;
+    this.lendingMicros = lendingMicros;
   }
 
-  private Shelf shelf(String tenant) {
-    return shelves.computeIfAbsent(tenant, Shelf::new);
+  private TenantTokens tokens(String tenant) {
+    return tenants.computeIfAbsent(tenant, TenantTokens::new);
   }
 
-  /** Uses a token that is here; false if there is none. */
+  /** Uses a cached token; false if there is none. */
   public boolean take(String tenant) {
-    Shelf s = shelf(tenant);
-    long now = runtime.now();
-    prune(s, now);
-    Lot l = s.lots.peekFirst();
-    if (l == null) {
-      return false;
-    }
-    if (--l.count()[0] == 0) {
-      s.lots.pollFirst();
-    }
-    s.used++;
-    s.lastUse = now;
-    if (now - s.paceFrom > PACE) {
-      s.pace = now - s.paceFrom > 2 * PACE ? 0 : s.recent;
-      s.recent = 0;
-      s.paceFrom = now;
-    }
-    s.recent++;
-    reportLater();
-    return true;
+    return take(tokens(tenant));
   }
 
-  /** Gives back a token that was taken for a request which has not run and never will. */
-  public void giveBack(String tenant) {
-    shelf(tenant).returned++;
+  private boolean take(TenantTokens tokens) {
+    boolean taken = tokens.take(runtime.now());
+    if (taken) {
+      scheduleReport();
+    }
+    return taken;
   }
 
-  private static void prune(Shelf s, long now) {
-    while (!s.lots.isEmpty() && s.lots.peekFirst().expires() <= now) {
-      s.used += s.lots.pollFirst().count()[0];
-    }
+  /** Gives back a token that was taken for a request which will not be executed. */
+  public void giveBack(String tenant) {
+    tokens(tenant).giveBack();
   }
 
-  /** Waits for a token, which is used when the taker is told. */
+  /** Uses a token for the caller as soon as there is one; at once if one is cached. */
   public void want(String tenant, Taker taker) {
-    Shelf s = shelf(tenant);
-    if (s.takers.isEmpty() && take(tenant)) {
+    TenantTokens tokens = tokens(tenant);
+    if (!tokens.hasWaiters() && take(tokens)) {
       taker.taken();
       return;
     }
-    s.takers.addLast(taker);
-    askSoon(GATHER);
+    tokens.addWaiter(taker);
+    scheduleRequest(COLLECT_MICROS);
   }
 
-  private void askSoon(long delay) {
-    if (!askDue) {
-      askDue = true;
+  private void scheduleRequest(long delayMicros) {
+    if (!requestScheduled) {
+      requestScheduled = true;
       runtime.after(
-          delay,
+          delayMicros,
           () -> {
-            askDue = false;
-            ask();
+            requestScheduled = false;
+            sendRequest();
           });
     }
   }
 
-  private void reportLater() {
-    if (!reportDue) {
-      reportDue = true;
+  private void scheduleReport() {
+    if (!reportScheduled) {
+      reportScheduled = true;
       runtime.after(
-          REPORT,
+          REPORT_DELAY_MICROS,
           () -> {
-            reportDue = false;
-            if (shelves.values().stream().anyMatch(s -> s.used != s.reported)) {
-              ask();
+            reportScheduled = false;
+            if (tenants.values().stream().anyMatch(TenantTokens::hasUnreportedUse)) {
+              sendRequest();
             }
           });
     }
   }
 
   /**
-   * This node's part of an ask for one tenant: its totals, what it needs and what it would like
-   * beside.
+   * Encodes one tenant's part of a request to the quota owner: the totals, how many tokens are
+   * needed, and how many are wanted as a reserve. The totals count as reported.
    */
   public WireRecord part(String tenant, int need) {
-    Shelf s = shelf(tenant);
-    prune(s, runtime.now());
-    s.reported = s.used;
-    // A reserve only where requests come faster than asks would: elsewhere it would mostly expire.
-    int spare = Math.max(0, Math.min(MOST_SPARE, Math.max(s.pace, s.recent) / 5) - s.held());
+    TenantTokens tokens = tokens(tenant);
+    tokens.expire(runtime.now());
+    tokens.markReported();
     return new WireRecord("part")
         .with("tenant", tenant)
-        .with("used", s.used)
-        .with("returned", s.returned)
+        .with("used", tokens.used())
+        .with("returned", tokens.returned())
         .with("need", need)
-        .with("spare", spare);
+        .with("spare", tokens.reserveWanted());
   }
 
-  /** What every ask that carries a part must say. */
-  public WireRecord sign(WireRecord ask) {
-    return ask.with("life", node.life()).with("term", term);
+  /** Adds the fields that every request with a tenant's part carries. */
+  public WireRecord sign(WireRecord request) {
+    return request.with("life", incarnation).with("term", ownerTerm);
   }
 
-  private void ask() {
-    if (asking) {
+  private void sendRequest() {
+    if (requestPending) {
+      return;
+    }
+    List<WireRecord> parts = requestParts();
+    if (parts.isEmpty()) {
       return;
     }
+    requestPending = true;
+    long requestedAt = runtime.now();
+    requests.toPrimary(
+        sign(new WireRecord("ask").with("op", "lend").withRecords("tenants", parts)),
+        REQUEST_TIMEOUT_MICROS,
+        REQUEST_RESEND_MICROS,
+        reply -> onReply(reply, requestedAt));
+  }
+
+  private List<WireRecord> requestParts() {
     List<WireRecord> parts = new ArrayList<>();
-    for (Shelf s : shelves.values()) {
-      s.takers.removeIf(t -> !t.waits());
-      if (!s.takers.isEmpty() || s.used != s.reported) {
-        parts.add(part(s.tenant, s.takers.size()));
+    for (TenantTokens tokens : tenants.values()) {
+      tokens.removeCancelledWaiters();
+      if (tokens.hasWaiters() || tokens.hasUnreportedUse()) {
+        parts.add(part(tokens.tenant, tokens.waiterCount()));
       }
     }
-    if (parts.isEmpty()) {
+    return parts;
+  }
+
+  private void onReply(WireRecord reply, long requestedAt) {
+    requestPending = false;
+    if (reply == null) {
+      // Tokens in a lost reply are never used: the owner counts them until they expire.
+      scheduleRequest(COLLECT_MICROS);
       return;
     }
-    asking = true;
-    long asked = runtime.now();
-    node.ask(
-        sign(new WireRecord("ask").with("op", "lend").withRecords("tenants", parts)),
-        ANSWER,
-        2 * ANSWER,
-        r -> {
-          asking = false;
-          if (r == null) {
-            // Whatever was lent is given up: the owner counts it until it expires.
-            askSoon(GATHER);
-            return;
-          }
-          long again = Long.MAX_VALUE;
-          for (WireRecord lent : r.records("lent")) {
-            again = Math.min(again, lent(r.number("term"), lent, asked, true));
-          }
-          if (again < Long.MAX_VALUE) {
-            askSoon(pause(again));
-          } else if (shelves.values().stream().anyMatch(s -> !s.takers.isEmpty())) {
-            askSoon(GATHER);
-          }
-        });
+    long retryMicros = NO_RETRY;
+    for (WireRecord grant : reply.records("lent")) {
+      retryMicros = Math.min(retryMicros, lent(reply.number("term"), grant, requestedAt, true));
+    }
+    if (retryMicros < NO_RETRY) {
+      scheduleRequest(retryDelay(retryMicros));
+    } else if (tenants.values().stream().anyMatch(TenantTokens::hasWaiters)) {
+      scheduleRequest(COLLECT_MICROS);
+    }
   }
 
   /**
-   * Takes in what was lent, and serves those who wait. Returns when to ask again for those who
-   * still do.
+   * Adds the tokens of one grant.
+   *
+   * @param term the term of the owner that granted them
+   * @param grant one tenant's grant as the owner encoded it
+   * @param requestedAt when the tokens were requested, in microseconds of the monotonic clock
+   * @param serveWaiters whether waiting callers get the tokens
+   * @return after how many microseconds to ask again for the callers that still wait, {@link
+   *     Long#MAX_VALUE} if there are none
    */
-  public long lent(long ofTerm, WireRecord lent, long asked, boolean serve) {
-    if (ofTerm != term) {
-      // Another owner: totals begin anew, and what the old one lent is left to expire.
-      term = ofTerm;
-      shelves
-          .values()
-          .forEach(
-              s -> {
-                s.lots.clear();
-                s.used = 0;
-                s.returned = 0;
-                s.reported = 0;
-              });
-    }
-    Shelf s = shelf(lent.text("tenant"));
-    int count = (int) lent.number("count");
-    if (count > 0) {
-      s.lots.addLast(new Lot(asked + lentMicros, new int[] {count}));
+  public long lent(long term, WireRecord grant, long requestedAt, boolean serveWaiters) {
+    if (term != ownerTerm) {
+      // Another owner: the totals start again, and the former owner's tokens are left to expire.
+      ownerTerm = term;
+      tenants.values().forEach(TenantTokens::reset);
     }
-    if (!serve) {
-      return Long.MAX_VALUE;
-    }
-    while (!s.takers.isEmpty()) {
-      Taker t = s.takers.peekFirst();
-      if (!t.waits()) {
-        s.takers.pollFirst();
-      } else if (take(s.tenant)) {
-        s.takers.pollFirst();
-        t.taken();
-      } else {
-        break;
-      }
+    TenantTokens tokens = tokens(grant.text("tenant"));
+    tokens.add((int) grant.number("count"), requestedAt + lendingMicros);
+    return serveWaiters ? serveWaiters(tokens, grant) : NO_RETRY;
+  }
+
+  private long serveWaiters(TenantTokens tokens, WireRecord grant) {
+    Taker waiter = tokens.nextWaiter();
+    while (waiter != null && take(tokens)) {
+      tokens.removeFirstWaiter();
+      waiter.taken();
+      waiter = tokens.nextWaiter();
     }
-    if (s.takers.isEmpty()) {
-      return Long.MAX_VALUE;
+    if (waiter == null) {
+      return NO_RETRY;
     }
-    if (lent.truth("over")) {
-      double later = retryAfter(lent);
-      List<Taker> out = new ArrayList<>(s.takers);
-      s.takers.clear();
-      out.forEach(t -> t.over(later));
-      return Long.MAX_VALUE;
+    if (grant.truth("over")) {
+      double seconds = retryAfter(grant);
+      tokens.removeAllWaiters().forEach(denied -> denied.over(seconds));
+      return NO_RETRY;
     }
-    return lent.number("again");
+    return grant.number("again");
   }
 
-  /** In how many seconds a caller beyond its quota had best come back, by what the owner said. */
-  public static double retryAfter(WireRecord lent) {
-    return Math.max(0.3, Math.min(5, lent.number("again") / 1e6));
+  /** After how many seconds a caller over its quota should retry, by the owner's grant. */
+  public static double retryAfter(WireRecord grant) {
+    double seconds = grant.number("again") / MICROS_PER_SECOND;
+    return Math.max(MIN_RETRY_AFTER_SECONDS, Math.min(MAX_RETRY_AFTER_SECONDS, seconds));
   }
 
-  /** When to ask again where the owner could lend nothing yet. */
-  public static long pause(WireRecord lent) {
-    return pause(lent.number("again"));
+  /** After how many microseconds to ask again where the owner could lend nothing yet. */
+  public static long pause(WireRecord grant) {
+    return retryDelay(grant.number("again"));
   }
 
-  private static long pause(long again) {
-    return Math.max(AGAIN_LEAST, Math.min(AGAIN_MOST, again));
+  private static long retryDelay(long wantedMicros) {
+    return Math.max(MIN_RETRY_MICROS, Math.min(MAX_RETRY_MICROS, wantedMicros));
   }
 
-  /** Gives idle reserves back. */
-  public void sweep() {
+  /** Drops expired tokens, and gives idle ones back while another node may still use them. */
+  void sweep() {
     long now = runtime.now();
-    Iterator<Shelf> it = shelves.values().iterator();
-    while (it.hasNext()) {
-      Shelf s = it.next();
-      prune(s, now);
-      // An idle reserve goes back while somebody else may still use it.
-      while (!s.lots.isEmpty() && now - s.lastUse > lentMicros / 2) {
-        int n = s.lots.pollFirst().count()[0];
-        s.used += n;
-        s.returned += n;
-      }
-      if (s.used != s.reported) {
-        reportLater();
+    for (TenantTokens tokens : tenants.values()) {
+      tokens.expire(now);
+      tokens.returnIdle(now, lendingMicros / 2);
+      if (tokens.hasUnreportedUse()) {
+        scheduleReport();
       }
     }
   }
--- /dev/null
+++ b/src/test/java/org/otterpond/control/agent/QuotaCacheTest.java
@@ -0,0 +1,152 @@
+package org.otterpond.control.agent;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+import static org.otterpond.control.agent.RecordingRuntime.MILLIS;
+import static org.otterpond.control.agent.RecordingRuntime.SECONDS;
+
+import java.util.ArrayList;
+import java.util.List;
+import org.junit.jupiter.api.Test;
+import org.otterpond.protocol.WireRecord;
+
+class QuotaCacheTest {
+  private static final String TENANT = "acme";
+  private static final long TERM = 5;
+  private static final long LENDING = 2 * SECONDS;
+  private static final long COLLECT = 2 * MILLIS;
+
+  private final RecordingRuntime runtime = new RecordingRuntime();
+  private final ForwardedRequests requests = new ForwardedRequests(runtime, () -> "p", 0);
+  private final QuotaCache cache = new QuotaCache(runtime, requests, /* life */ 9, LENDING);
+  private final List<String> outcomes = new ArrayList<>();
+
+  private QuotaCache.Taker caller(String name, boolean waits) {
+    return new QuotaCache.Taker() {
+      @Override
+      public boolean waits() {
+        return waits;
+      }
+
+      @Override
+      public void taken() {
+        outcomes.add(name + " taken");
+      }
+
+      @Override
+      public void over(double retryAfter) {
+        outcomes.add(name + " over " + retryAfter);
+      }
+    };
+  }
+
+  private static WireRecord grant(int count, long againMicros) {
+    return new WireRecord("lent")
+        .with("tenant", TENANT)
+        .with("count", count)
+        .with("again", againMicros);
+  }
+
+  private void reply(WireRecord request, WireRecord grant) {
+    requests.onReply(
+        new WireRecord("reply")
+            .with("rid", request.number("rid"))
+            .with("term", TERM)
+            .withRecords("lent", List.of(grant)));
+  }
+
+  @Test
+  void tokensServeWaitingCallersInOrderAndSkipThoseThatGaveUp() {
+    cache.want(TENANT, caller("a", true));
+    cache.want(TENANT, caller("b", false));
+    cache.want(TENANT, caller("c", true));
+    runtime.run(COLLECT);
+    WireRecord request = runtime.takeOnlySent().message();
+
+    reply(request, grant(2, 0));
+
+    assertEquals(2, request.records("tenants").get(0).number("need"));
+    assertEquals(List.of("a taken", "c taken"), outcomes);
+  }
+
+  @Test
+  void callersOverTheQuotaLearnWhenToRetry() {
+    cache.want(TENANT, caller("a", true));
+    runtime.run(COLLECT);
+
+    reply(runtime.takeOnlySent().message(), grant(0, SECONDS).with("over", true));
+
+    assertEquals(List.of("a over 1.0"), outcomes);
+  }
+
+  @Test
+  void ownerIsAskedAgainWhileCallersWait() {
+    cache.want(TENANT, caller("a", true));
+    runtime.run(COLLECT);
+    reply(runtime.takeOnlySent().message(), grant(0, 50 * MILLIS));
+
+    runtime.run(50 * MILLIS - 1);
+    assertTrue(runtime.takeSent().isEmpty());
+    runtime.run(1);
+
+    assertEquals("lend", runtime.takeOnlySent().message().text("op"));
+  }
+
+  @Test
+  void tokenIsNotUsedAfterTheLendingTime() {
+    cache.lent(TERM, grant(2, 0), runtime.now(), false);
+    runtime.run(LENDING - 1);
+    assertTrue(cache.take(TENANT));
+
+    runtime.run(1);
+
+    assertFalse(cache.take(TENANT));
+    assertEquals(2, cache.part(TENANT, 1).number("used"));
+  }
+
+  @Test
+  void tokensAndTotalsOfFormerOwnerAreDropped() {
+    cache.lent(TERM, grant(2, 0), runtime.now(), false);
+    assertTrue(cache.take(TENANT));
+
+    cache.lent(TERM + 1, grant(0, 0), runtime.now(), false);
+
+    assertFalse(cache.take(TENANT));
+    assertEquals(0, cache.part(TENANT, 1).number("used"));
+    assertEquals(TERM + 1, cache.sign(new WireRecord("ask")).number("term"));
+  }
+
+  @Test
+  void idleTokensAreReturned() {
+    cache.lent(TERM, grant(3, 0), runtime.now(), false);
+
+    runtime.run(LENDING / 2 + 1);
+    cache.sweep();
+
+    WireRecord part = cache.part(TENANT, 0);
+    assertEquals(3, part.number("used"));
+    assertEquals(3, part.number("returned"));
+  }
+
+  @Test
+  void reserveIsWantedOnlyUnderSteadyUse() {
+    cache.lent(TERM, grant(20, 0), runtime.now(), false);
+    assertTrue(cache.take(TENANT));
+    assertEquals(0, cache.part(TENANT, 0).number("spare"));
+
+    while (cache.take(TENANT)) {
+      runtime.run(MILLIS);
+    }
+
+    assertEquals(4, cache.part(TENANT, 0).number("spare"));
+  }
+
+  @Test
+  void retryTimesStayWithinTheirBounds() {
+    assertEquals(0.3, QuotaCache.retryAfter(grant(0, 0)));
+    assertEquals(5, QuotaCache.retryAfter(grant(0, 60 * SECONDS)));
+    assertEquals(20 * MILLIS, QuotaCache.pause(grant(0, 0)));
+    assertEquals(120 * MILLIS, QuotaCache.pause(grant(0, SECONDS)));
+  }
+}
