--- a/src/main/java/org/otterpond/replication/PreparedList.java
+++ b/src/main/java/org/otterpond/replication/PreparedList.java
@@ -4,183 +4,191 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import java.util.function.LongConsumer;
 import org.otterpond.protocol.WireRecord;
 
 /**
- * The prepared list of one replica and its committed point. Entries are kept in memory until they
- * are committed; each is in the journal before it counts as prepared here.
+ * The prepared list of one replica and its committed point (PacificA, section "Primary/Backup Data
+ * Replication").
+ *
+ * <p>Entries are kept in memory until they are committed. An entry counts as prepared on this
+ * replica once its log record is durable.
  */
 final class PreparedList {
-  private record Entry(WireRecord what, long[] place) {}
+  private static final long NO_POSITION = -1;
 
   private final int group;
-  private final ReplicaGroupRuntime host;
-  private final StateMachine machine;
-  private final TreeMap<Long, Entry> pending = new TreeMap<>();
-  private long last;
-  private long durable;
-  private long committed;
+  private final ReplicaGroupRuntime runtime;
+  private final StateMachine stateMachine;
+  private final TreeMap<Long, PendingEntry> pending = new TreeMap<>();
+  private long lastSerial;
+  private long durableSerial;
+  private long committedPoint;
 
   /**
-   * Told apart, so that the journal's answer to an entry that was cut off is not taken for its
-   * successor's.
+   * Raised whenever entries are removed, so that the log's answer for a removed entry is not taken
+   * for that of its successor.
    */
   private long generation;
 
-  /** Begun from what a segment said of the ones before it. */
-  private boolean fromMeta;
+  /** Whether the list starts at the committed point of a segment header. */
+  private boolean startedAtHeader;
 
   private boolean gap;
 
-  PreparedList(int group, ReplicaGroupRuntime host, StateMachine machine) {
+  private static final class PendingEntry {
+    private final WireRecord entry;
+    private long logPosition;
+
+    PendingEntry(WireRecord entry, long logPosition) {
+      this.entry = entry;
+      this.logPosition = logPosition;
+    }
+  }
+
+  PreparedList(int group, ReplicaGroupRuntime runtime, StateMachine stateMachine) {
     this.group = group;
-    this.host = host;
-    this.machine = machine;
+    this.runtime = runtime;
+    this.stateMachine = stateMachine;
   }
 
-  long last() {
-    return last;
+  /** Returns the serial number of the last entry. */
+  long lastSerial() {
+    return lastSerial;
   }
 
-  /** All up to here is durable on this disk. */
-  long durable() {
-    return durable;
+  /** Returns the serial number up to which all entries are durable on this node. */
+  long durableSerial() {
+    return durableSerial;
   }
 
-  long committed() {
-    return committed;
+  /** Returns the serial number of the last committed entry. */
+  long committedPoint() {
+    return committedPoint;
   }
 
-  /** Those after a serial number, at most so many. */
-  List<WireRecord> after(long serial, int most) {
-    List<WireRecord> out = new ArrayList<>();
-    for (Map.Entry<Long, Entry> e : pending.tailMap(serial, false).entrySet()) {
-      if (out.size() >= most) {
-        break;
-      }
-      out.add(e.getValue().what());
-    }
-    return out;
+  /** Returns the uncommitted entries after a serial number, at most {@code limit} of them. */
+  List<WireRecord> entriesAfter(long serial, int limit) {
+    return pending.tailMap(serial, false).values().stream()
+        .limit(limit)
+        .map(pendingEntry -> pendingEntry.entry)
+        .toList();
   }
 
-  /** Adds the next entry; the task runs once it is durable. */
-  void insert(WireRecord entry, long version, Runnable kept, Runnable failed) {
-    long serial = ++last;
-    Entry e = new Entry(entry, new long[] {-1});
-    pending.put(serial, e);
-    long g = generation;
-    host.journal(
-        new WireRecord("prep")
-            .with("group", group)
-            .with("version", version)
-            .with("serial", serial)
-            .with("point", committed)
-            .with("entry", entry),
-        place -> {
-          if (place < 0) {
-            failed.run();
+  /**
+   * Adds the next entry.
+   *
+   * @param version version of the configuration under which it is prepared
+   * @param onDurable run once the entry is durable, unless it was removed meanwhile
+   * @param onFailed run if the write failed
+   */
+  void insert(WireRecord entry, long version, Runnable onDurable, Runnable onFailed) {
+    long serial = ++lastSerial;
+    PendingEntry added = new PendingEntry(entry, NO_POSITION);
+    pending.put(serial, added);
+    long insertedIn = generation;
+    runtime.journal(
+        new GroupLogRecord.EntryPrepared(group, version, serial, committedPoint, entry),
+        position -> {
+          if (position < 0) {
+            onFailed.run();
             return;
           }
-          e.place()[0] = place;
-          if (g == generation || serial <= last && pending.get(serial) == e) {
-            durable = Math.max(durable, serial);
-            kept.run();
+          added.logPosition = position;
+          boolean stillListed = serial <= lastSerial && pending.get(serial) == added;
+          if (insertedIn == generation || stillListed) {
+            durableSerial = Math.max(durableSerial, serial);
+            onDurable.run();
           }
         });
   }
 
-  /** Moves the committed point, as far as this disk holds the entries; applies what it passes. */
+  /**
+   * Moves the committed point, at most to the last durable entry, and applies the entries that it
+   * passes.
+   */
   void commit(long point) {
-    long to = Math.min(point, durable);
-    while (committed < to) {
-      Entry e = pending.remove(committed + 1);
-      committed++;
-      if (e != null) {
-        machine.apply(e.what(), committed, e.place()[0]);
+    long target = Math.min(point, durableSerial);
+    while (committedPoint < target) {
+      PendingEntry next = pending.remove(committedPoint + 1);
+      committedPoint++;
+      if (next != null) {
+        stateMachine.apply(next.entry, committedPoint, next.logPosition);
       }
     }
   }
 
-  /** Keeps only what stands up to the serial number. */
-  void truncate(long to) {
-    if (last > to) {
-      generation++;
-      pending.tailMap(to, false).clear();
-      last = to;
-      durable = Math.min(durable, to);
-      host.journal(new WireRecord("trunc").with("group", group).with("serial", to), place -> {});
+  /** Removes all entries above a serial number. */
+  void truncate(long serial) {
+    if (lastSerial <= serial) {
+      return;
     }
+    generation++;
+    pending.tailMap(serial, false).clear();
+    lastSerial = serial;
+    durableSerial = Math.min(durableSerial, serial);
+    runtime.journal(new GroupLogRecord.ListTruncated(group, serial), position -> {});
   }
 
-  /** Begins anew at a point, without anything. */
+  /** Removes all entries and continues after a committed point. */
   void reset(long point) {
     generation++;
     pending.clear();
-    last = point;
-    durable = point;
-    committed = point;
+    lastSerial = point;
+    durableSerial = point;
+    committedPoint = point;
   }
 
-  // ---------------------------------------------------------------- replay
+  /** Writes the uncommitted entries again, so that the beginning of the log can be removed. */
+  void rewriteUncommitted(long version) {
+    for (Map.Entry<Long, PendingEntry> listed : new ArrayList<>(pending.entrySet())) {
+      PendingEntry uncommitted = listed.getValue();
+      runtime.journal(
+          new GroupLogRecord.EntryPrepared(
+              group, version, listed.getKey(), committedPoint, uncommitted.entry),
+          position -> {
+            if (position >= 0) {
+              uncommitted.logPosition = position;
+            }
+          });
+    }
+  }
 
-  /** An entry as the journal has it. */
-  void replayed(long serial, WireRecord entry, long point, long place) {
-    if (serial <= committed) {
+  /** Replays an entry from the log. */
+  void replayEntry(GroupLogRecord.EntryPrepared prepared, long logPosition) {
+    long serial = prepared.serial();
+    if (serial <= committedPoint) {
       return;
     }
-    if (serial > last + 1 && fromMeta) {
-      // The ones between were committed long before the segment that held them went.
+    if (serial > lastSerial + 1 && startedAtHeader) {
+      // The entries between were committed before the segment that contained them was removed.
       reset(serial - 1);
     }
-    gap |= serial > last + 1;
-    fromMeta = false;
+    gap |= serial > lastSerial + 1;
+    startedAtHeader = false;
     pending.tailMap(serial, true).clear();
-    pending.put(serial, new Entry(entry, new long[] {place}));
-    last = serial;
-    durable = serial;
-    commit(point);
+    pending.put(serial, new PendingEntry(prepared.entry(), logPosition));
+    lastSerial = serial;
+    durableSerial = serial;
+    commit(prepared.committedPoint());
   }
 
-  void replayedMeta(long point) {
-    if (last < point) {
+  /** Replays the committed point of a segment header. */
+  void replayHeader(long point) {
+    if (lastSerial < point) {
       reset(point);
-      fromMeta = true;
+      startedAtHeader = true;
     }
   }
 
-  /** Whether an entry is missing, as after a disk that refused a write. */
-  boolean gap() {
-    return gap;
-  }
-
-  void replayedTruncation(long to) {
-    pending.tailMap(to, false).clear();
-    last = Math.min(last, Math.max(to, committed));
-    durable = last;
+  /** Replays a truncation. */
+  void replayTruncation(long serial) {
+    pending.tailMap(serial, false).clear();
+    lastSerial = Math.min(lastSerial, Math.max(serial, committedPoint));
+    durableSerial = lastSerial;
   }
 
-  /** What a fresh segment of the journal must say of this list, so that older ones can go. */
-  WireRecord meta(String kind) {
-    return new WireRecord(kind).with("group", group).with("point", committed);
-  }
-
-  /**
-   * Writes the entries that are not committed once more, for a journal whose beginning is to go.
-   */
-  void carry(long version, LongConsumer each) {
-    pending.forEach(
-        (serial, e) ->
-            host.journal(
-                new WireRecord("prep")
-                    .with("group", group)
-                    .with("version", version)
-                    .with("serial", serial)
-                    .with("point", committed)
-                    .with("entry", e.what()),
-                place -> {
-                  e.place()[0] = place < 0 ? e.place()[0] : place;
-                  each.accept(place);
-                }));
+  /** Returns whether an entry was missing in the replay, as after a refused write. */
+  boolean hasGap() {
+    return gap;
   }
 }
--- a/src/main/java/org/otterpond/replication/ReplicaGroupRuntime.java
+++ b/src/main/java/org/otterpond/replication/ReplicaGroupRuntime.java
@@ -2,29 +2,52 @@
 
 import java.util.function.Consumer;
 import java.util.function.LongConsumer;
+import org.otterpond.protocol.Encodable;
 import org.otterpond.protocol.WireRecord;
 
-/** Everything a replica group may do to the world. */
+/**
+ * The effects of a replica group: time, messages, the log, timers and the configuration manager.
+ * All calls and callbacks are made on the owner thread.
+ */
 public interface ReplicaGroupRuntime {
+  /** Returns the monotonic time in microseconds. */
   long now();
 
-  /** Sends to the machine of a member; it may be lost, never damaged. */
+  /** Sends to the machine of a member; the message may be lost, never damaged. */
   void send(String member, WireRecord message);
 
-  /** Appends a record; the answer is its place on the disk once it is durable, or below 0. */
+  /** Encodes and sends a typed message; it may be lost, never damaged. */
+  default void send(String member, Encodable message) {
+    send(member, message.toWireRecord());
+  }
+
+  /**
+   * Appends a record to the log.
+   *
+   * @param done gets the position of the record once it is durable, or a negative number if the
+   *     write failed
+   */
   void journal(WireRecord record, LongConsumer done);
 
-  /** Runs later on the owner thread. */
+  /** Encodes and appends a typed record; the callback is that of the other overload. */
+  default void journal(Encodable record, LongConsumer done) {
+    journal(record.toWireRecord(), done);
+  }
+
+  /** Runs a task on the owner thread after a delay in microseconds. */
   void after(long delayMicros, Runnable task);
 
   /**
-   * Proposes to the configuration manager; told what is in force then, or null if there was no
-   * clear answer.
+   * Proposes a configuration to the configuration manager.
+   *
+   * @param outcome gets the configuration in force after the proposal was decided, or null if there
+   *     was no clear answer
    */
   void propose(GroupConfiguration next, Consumer<GroupConfiguration> outcome);
 
-  /** Tells the manager that a wanted member could not be brought up to date. */
+  /** Reports to the manager that the state transfer to a wanted member failed. */
   void candidateFailed(int group, String member);
 
+  /** Logs one line of key=value pairs. */
   void event(String line);
 }
--- a/src/main/java/org/otterpond/replication/StateMachine.java
+++ b/src/main/java/org/otterpond/replication/StateMachine.java
@@ -4,31 +4,33 @@
 import org.otterpond.protocol.WireRecord;
 
 /**
- * What a replica group replicates. It sees committed entries only, in the order of their serial
- * numbers.
+ * What a replica group replicates. It gets committed entries only, in the order of their serial
+ * numbers. All calls are made on the owner thread.
  */
 public interface StateMachine {
   /**
-   * @param serial its serial number
-   * @param place where the entry stands on this disk
+   * Applies a committed entry.
+   *
+   * @param serial serial number of the entry
+   * @param place position of the entry in the log of this node
    */
   void apply(WireRecord entry, long serial, long place);
 
-  /** Forgets everything. */
+  /** Removes the whole state. */
   void clear();
 
   /**
-   * Hands out the state, piece by piece and then null; what is applied meanwhile may or may not be
-   * in it.
+   * Hands out the state piece by piece, then null. Entries applied meanwhile may or may not be
+   * included.
    */
   void export(Consumer<WireRecord> piece);
 
-  /** Takes a piece of the state; one that is known already changes nothing. */
+  /** Loads a piece of the state; a piece that is known already changes nothing. */
   void load(WireRecord piece, long place);
 
-  /** This replica began or ceased to serve as primary. */
+  /** Reports that this replica began or ceased to serve as primary. */
   void serving(boolean is);
 
-  /** Stops what is under way for a planned hand-over, and runs the task once nothing is. */
+  /** Stops work in flight for a planned handover, and runs the task once there is none. */
   void quiesce(Runnable done);
 }
--- a/src/test/java/org/otterpond/simulation/ReplicaGroupTest.java
+++ b/src/test/java/org/otterpond/simulation/ReplicaGroupTest.java
@@ -14,148 +14,149 @@
 import org.otterpond.replication.ReplicaGroupTimeouts;
 
 /**
- * The replica group against its source: one history, one primary, nothing acknowledged lost; and
- * breaks are noticed.
+ * One replica group under faults: one history, at most one serving primary, no acknowledged update
+ * lost. Deliberate defects show that the checker detects violations.
  */
 class ReplicaGroupTest {
-  private static final long S = 1_000_000;
+  private static final long SECOND_MICROS = 1_000_000;
 
-  private static void troubles(SimulatedReplicaGroup g) {
-    List<SimulatedReplicaGroup.Member> all = new ArrayList<>(g.members.values());
+  private static void injectFaultsAndSettle(SimulatedReplicaGroup group) {
+    List<SimulatedReplicaGroup.Member> members = new ArrayList<>(group.members.values());
     for (int i = 0; i < 8; i++) {
-      SimulatedReplicaGroup.Member m = all.get(g.world.random.nextInt(all.size()));
-      switch (g.world.random.nextInt(6)) {
-        case 0 -> m.kill(false);
-        case 1 -> m.kill(true);
-        case 2 -> m.frozen = m.up;
-        case 3 -> g.cutOff(m.name, false);
-        case 4 -> g.cutOff(m.name, true);
-        default -> m.slowDisk = true;
+      SimulatedReplicaGroup.Member member = members.get(group.world.random.nextInt(members.size()));
+      switch (group.world.random.nextInt(6)) {
+        case 0 -> member.kill(false);
+        case 1 -> member.kill(true);
+        case 2 -> member.frozen = member.up;
+        case 3 -> group.cutOff(member.name, false);
+        case 4 -> group.cutOff(member.name, true);
+        default -> member.slowDisk = true;
       }
-      g.world.loss = g.world.random.nextInt(3) == 0 ? 0.05 : 0;
-      g.world.run(300_000 + g.world.random.nextInt(2_500_000));
-      g.heal();
-      all.forEach(
-          o -> {
-            o.slowDisk = false;
-            o.thaw();
-            o.start();
+      group.world.loss = group.world.random.nextInt(3) == 0 ? 0.05 : 0;
+      group.world.run(300_000 + group.world.random.nextInt(2_500_000));
+      group.heal();
+      members.forEach(
+          other -> {
+            other.slowDisk = false;
+            other.thaw();
+            other.start();
           });
-      g.world.run(g.world.random.nextInt(2_000_000));
+      group.world.run(group.world.random.nextInt(2_000_000));
     }
-    g.settle();
+    group.settle();
   }
 
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16, 17, 18, 19, 20})
-  void oneHistoryThroughTroubles(long seed) {
-    SimulatedReplicaGroup g = new SimulatedReplicaGroup(seed, seed % 2 == 0 ? 3 : 4);
-    g.world.run(2 * S);
-    troubles(g);
-    assertEquals(List.of(), g.broken, () -> String.join("\n", g.world.log));
+  void givenRandomFaults_whenGroupSettles_thenAllReplicasHaveOneHistory(long seed) {
+    SimulatedReplicaGroup group = new SimulatedReplicaGroup(seed, seed % 2 == 0 ? 3 : 4);
+    group.world.run(2 * SECOND_MICROS);
+    injectFaultsAndSettle(group);
+    assertEquals(List.of(), group.broken, () -> String.join("\n", group.world.log));
     assertTrue(
-        g.updates > 500 && g.queries > 500, g.updates + " updates, " + g.queries + " queries");
+        group.updates > 500 && group.queries > 500,
+        group.updates + " updates, " + group.queries + " queries");
   }
 
   @Test
-  void quietGroupAcknowledgesEverything() {
-    SimulatedReplicaGroup g = new SimulatedReplicaGroup(101, 3);
-    g.world.run(4 * S);
-    g.settle();
-    assertEquals(List.of(), g.broken);
-    assertTrue(g.updates > 1_000, g.updates + " updates");
-    assertTrue(g.world.log.stream().filter(l -> l.contains("group_reconciled")).count() <= 2);
+  void givenNoFaults_whenUpdatesRun_thenAllAreAcknowledgedAfterOneReconciliation() {
+    SimulatedReplicaGroup group = new SimulatedReplicaGroup(101, 3);
+    group.world.run(4 * SECOND_MICROS);
+    group.settle();
+    assertEquals(List.of(), group.broken);
+    assertTrue(group.updates > 1_000, group.updates + " updates");
+    assertTrue(group.world.log.stream().filter(l -> l.contains("group_reconciled")).count() <= 2);
   }
 
-  private interface Break {
-    void of(SimulatedReplicaGroup g);
+  private interface Defect {
+    void introduceInto(SimulatedReplicaGroup group);
   }
 
-  private static int noticed(Break b) {
-    int noticed = 0;
+  private static int seedsWithViolation(Defect defect) {
+    int violations = 0;
     for (long seed = 201; seed <= 216; seed++) {
-      SimulatedReplicaGroup g = new SimulatedReplicaGroup(seed, 3);
-      b.of(g);
-      g.world.run(2 * S);
-      troubles(g);
-      noticed += g.broken.isEmpty() ? 0 : 1;
+      SimulatedReplicaGroup group = new SimulatedReplicaGroup(seed, 3);
+      defect.introduceInto(group);
+      group.world.run(2 * SECOND_MICROS);
+      injectFaultsAndSettle(group);
+      violations += group.broken.isEmpty() ? 0 : 1;
     }
-    return noticed;
+    return violations;
   }
 
   @Test
-  void managerThatTakesAnyVersionIsNoticed() {
-    assertTrue(noticed(g -> g.managerTakesAnyVersion = true) > 0);
+  void givenManagerThatInstallsAnyVersion_whenFaultsAreInjected_thenViolationIsDetected() {
+    assertTrue(seedsWithViolation(group -> group.managerTakesAnyVersion = true) > 0);
   }
 
-  /** A primary that wakes with old acknowledgements in hand must not take them for new. */
+  /** A primary that resumes after a pause must not take old acknowledgements for new ones. */
   @Test
-  void leaseCountedFromTheAnswerIsNoticed() {
-    assertEquals(0, wakingPrimariesThatServeBesideAnother(false));
-    assertTrue(wakingPrimariesThatServeBesideAnother(true) > 0);
+  void givenLeaseCountedFromTheAnswer_whenPrimaryResumes_thenTwoPrimariesServe() {
+    assertEquals(0, resumedPrimariesServingBesideAnother(false));
+    assertTrue(resumedPrimariesServingBesideAnother(true) > 0);
   }
 
-  private static int wakingPrimariesThatServeBesideAnother(boolean fromTheAnswer) {
-    int noticed = 0;
+  private static int resumedPrimariesServingBesideAnother(boolean leaseFromTheAnswer) {
+    int violations = 0;
     for (long seed = 401; seed <= 520; seed++) {
-      SimulatedReplicaGroup g = new SimulatedReplicaGroup(seed, 3);
-      g.leaseFromTheAnswer = fromTheAnswer;
-      g.world.run(S + g.world.random.nextInt(50_000));
-      SimulatedReplicaGroup.Member first = g.members.values().iterator().next();
+      SimulatedReplicaGroup group = new SimulatedReplicaGroup(seed, 3);
+      group.leaseFromTheAnswer = leaseFromTheAnswer;
+      group.world.run(SECOND_MICROS + group.world.random.nextInt(50_000));
+      SimulatedReplicaGroup.Member first = group.members.values().iterator().next();
       first.frozen = true;
-      g.world.run(900_000 + g.world.random.nextInt(200_000));
+      group.world.run(900_000 + group.world.random.nextInt(200_000));
       first.thaw();
-      g.world.run(100_000);
-      noticed += g.broken.isEmpty() ? 0 : 1;
+      group.world.run(100_000);
+      violations += group.broken.isEmpty() ? 0 : 1;
     }
-    return noticed;
+    return violations;
   }
 
   @Test
-  void disksThatAnswerBeforeTheyHaveWrittenAreNoticed() {
-    SimulatedReplicaGroup g = new SimulatedReplicaGroup(301, 3);
-    g.disksLie = true;
-    g.world.run(2 * S);
-    g.members.values().forEach(m -> m.kill(true));
-    g.settle();
+  void givenDisksThatAnswerBeforeWriting_whenAllLosePower_thenLossIsDetected() {
+    SimulatedReplicaGroup group = new SimulatedReplicaGroup(301, 3);
+    group.disksLie = true;
+    group.world.run(2 * SECOND_MICROS);
+    group.members.values().forEach(m -> m.kill(true));
+    group.settle();
     assertTrue(
-        g.broken.stream().anyMatch(b -> b.contains("lacks") || b.contains("serve in the end")));
+        group.broken.stream().anyMatch(b -> b.contains("lacks") || b.contains("serve in the end")));
   }
 
   @ParameterizedTest
   @ValueSource(longs = {31, 32, 33, 34})
-  void allLosePowerAndNothingAcknowledgedIsLost(long seed) {
-    SimulatedReplicaGroup g = new SimulatedReplicaGroup(seed, 3);
-    g.world.run(2 * S + g.world.random.nextInt(100_000));
-    g.members.values().forEach(m -> m.kill(true));
-    g.world.run(S);
-    g.settle();
-    assertEquals(List.of(), g.broken, () -> String.join("\n", g.world.log));
+  void givenRunningGroup_whenAllLosePower_thenNoAcknowledgedUpdateIsLost(long seed) {
+    SimulatedReplicaGroup group = new SimulatedReplicaGroup(seed, 3);
+    group.world.run(2 * SECOND_MICROS + group.world.random.nextInt(100_000));
+    group.members.values().forEach(m -> m.kill(true));
+    group.world.run(SECOND_MICROS);
+    group.settle();
+    assertEquals(List.of(), group.broken, () -> String.join("\n", group.world.log));
   }
 
   /**
-   * The manager's word of whom to take in is newer than what an answer or another member says of
-   * the same version.
+   * The manager's update of the wanted members is newer than what an answer or another member
+   * reports of the same version.
    */
   @Test
-  void lateWordOfTheVersionInForceDoesNotBringBackWhoIsNoLongerWanted() {
-    SimulatedReplicaGroup g = new SimulatedReplicaGroup(35, 3);
-    g.world.run(2 * S);
-    for (SimulatedReplicaGroup.Member m : g.members.values()) {
-      GroupConfiguration old = m.group.view();
-      List<String> wanted = List.of(old.primary(), "newcomer@x:1");
-      m.group.learn(old.wanting(wanted));
-      m.group.onMessage(
-          old.primary(),
-          new WireRecord("g.view")
-              .with("group", old.group())
-              .with("view", old.toWireRecord("view")));
-      assertEquals(wanted, m.group.view().wanted());
+  void givenNewerWantedMembers_whenOldReportOfSameVersionArrives_thenWantedMembersStay() {
+    SimulatedReplicaGroup group = new SimulatedReplicaGroup(35, 3);
+    group.world.run(2 * SECOND_MICROS);
+    for (SimulatedReplicaGroup.Member member : group.members.values()) {
+      GroupConfiguration reported = member.group.view();
+      List<String> wanted = List.of(reported.primary(), "newcomer@x:1");
+      member.group.learn(reported.wanting(wanted));
+      member.group.onMessage(
+          reported.primary(),
+          new WireRecord("group.view")
+              .with("group", reported.group())
+              .with("view", reported.toWireRecord("view")));
+      assertEquals(wanted, member.group.view().wanted());
     }
   }
 
   @Test
-  void graceBelowTheLeaseIsRefused() {
+  void givenTimesThatBreakTheLease_whenCreated_thenTheyAreRejected() {
     assertThrows(
         IllegalArgumentException.class,
         () -> new ReplicaGroupTimeouts(100_000, 500_000, 505_000, 1, 1));
