--- a/src/main/java/org/otterpond/replication/LocalReplica.java
+++ b/src/main/java/org/otterpond/replication/LocalReplica.java
@@ -100,6 +100,14 @@
     return diskFailed;
   }
 
+  /**
+   * Returns whether the log of this node may be relied on for the group: no write failed, or this
+   * is the only member, so that there is no other replica to copy from.
+   */
+  boolean isLogReliable() {
+    return !diskFailed || (isPrimary() && configuration.secondaries().isEmpty());
+  }
+
   /** Records a failed write: without its log this replica can prepare nothing. */
   void onWriteFailed() {
     if (!diskFailed) {
--- a/src/main/java/org/otterpond/replication/PreparedList.java
+++ b/src/main/java/org/otterpond/replication/PreparedList.java
@@ -33,6 +33,16 @@
   /** Whether the list starts at the committed point of a segment header. */
   private boolean startedAtHeader;
 
+  /** Whether the replay has found the beginning of the list: an entry, a header or a transfer. */
+  private boolean replayAnchored;
+
+  /**
+   * Serial number before the first entry of a log whose older segments were removed, until a header
+   * shows that everything up to it is committed; 0 if there is none.
+   */
+  private long unprovenSerial;
+
+  /** Whether an entry was missing between two others in the replay. */
   private boolean gap;
 
   private static final class PendingEntry {
@@ -129,8 +139,18 @@
     runtime.journal(new GroupLogRecord.ListTruncated(group, serial), position -> {});
   }
 
-  /** Removes all entries and continues after a committed point. */
+  /**
+   * Removes all entries and continues after a committed point, with a state that does not depend on
+   * what was in the list before.
+   */
   void reset(long point) {
+    continueAfter(point);
+    replayAnchored = true;
+    unprovenSerial = 0;
+    gap = false;
+  }
+
+  private void continueAfter(long point) {
     generation++;
     pending.clear();
     lastSerial = point;
@@ -153,17 +173,21 @@
     }
   }
 
+  /** Replays the beginning of the group: every entry follows. */
+  void replayBeginning() {
+    replayAnchored = true;
+  }
+
   /** Replays an entry from the log. */
   void replayEntry(GroupLogRecord.EntryPrepared prepared, long logPosition) {
     long serial = prepared.serial();
     if (serial <= committedPoint) {
       return;
     }
-    if (serial > lastSerial + 1 && startedAtHeader) {
-      // The entries between were committed before the segment that contained them was removed.
-      reset(serial - 1);
+    if (serial > lastSerial + 1) {
+      replayMissingEntries(serial);
     }
-    gap |= serial > lastSerial + 1;
+    replayAnchored = true;
     startedAtHeader = false;
     pending.tailMap(serial, true).clear();
     pending.put(serial, new PendingEntry(prepared.entry(), logPosition));
@@ -172,12 +196,32 @@
     commit(prepared.committedPoint());
   }
 
-  /** Replays the committed point of a segment header. */
+  private void replayMissingEntries(long nextSerial) {
+    if (startedAtHeader) {
+      // The entries between were committed before the segment that contained them was removed.
+      continueAfter(nextSerial - 1);
+    } else if (replayAnchored) {
+      gap = true;
+    } else {
+      // The segment began while this node was a candidate, and the older ones were removed.
+      unprovenSerial = nextSerial - 1;
+    }
+  }
+
+  /**
+   * Replays the committed point of a segment header. A header is written by a complete member only,
+   * so it also shows that the entries before the beginning of the log are committed and that their
+   * effects were written again when the older segments were removed.
+   */
   void replayHeader(long point) {
+    if (point >= unprovenSerial) {
+      unprovenSerial = 0;
+    }
     if (lastSerial < point) {
-      reset(point);
+      continueAfter(point);
       startedAtHeader = true;
     }
+    replayAnchored = true;
   }
 
   /** Replays a truncation. */
@@ -187,8 +231,11 @@
     durableSerial = lastSerial;
   }
 
-  /** Returns whether an entry was missing in the replay, as after a refused write. */
+  /**
+   * Returns whether an entry was missing in the replay, as after a refused write, or no header
+   * covers the beginning of the log.
+   */
   boolean hasGap() {
-    return gap;
+    return gap || unprovenSerial > 0;
   }
 }
--- a/src/main/java/org/otterpond/replication/ReplicaGroup.java
+++ b/src/main/java/org/otterpond/replication/ReplicaGroup.java
@@ -110,7 +110,12 @@
     if (replica.isPrimary()) {
       becomePrimary(wasMember, continued);
     } else if (replica.isMember()) {
+      boolean wasCandidate = role instanceof CandidateRole;
       enter(new SecondaryRole(replica, proposer, 0));
+      if (wasCandidate) {
+        // The present segment may have begun before the transfer ended, without a header.
+        header().ifPresent(replica::append);
+      }
     } else if (role instanceof CandidateRole candidate) {
       if (!candidate.isCopiedFrom(configuration.primary())) {
         leaveGroup();
@@ -305,10 +310,15 @@
    * complete state of the group.
    */
   public WireRecord meta() {
-    return replica.isComplete() && replica.isMember()
-        ? new GroupLogRecord.SegmentHeader(replica.group(), committed(), replica.configuration())
-            .toWireRecord()
-        : null;
+    return header().map(GroupLogRecord.SegmentHeader::toWireRecord).orElse(null);
+  }
+
+  private Optional<GroupLogRecord.SegmentHeader> header() {
+    boolean present = replica.isComplete() && replica.isMember() && replica.isLogReliable();
+    return present
+        ? Optional.of(
+            new GroupLogRecord.SegmentHeader(replica.group(), committed(), replica.configuration()))
+        : Optional.empty();
   }
 
   /** Writes the uncommitted entries again, so that the oldest segment can be removed. */
--- a/src/main/java/org/otterpond/replication/ReplicaLogReplay.java
+++ b/src/main/java/org/otterpond/replication/ReplicaLogReplay.java
@@ -71,6 +71,7 @@
     replica.setConfiguration(configuration);
     if (configuration.version() == 1) {
       replica.setComplete(true);
+      replica.preparedList().replayBeginning();
     }
   }
 
