--- a/src/main/java/org/otterpond/messaging/MessageDispatcher.java
+++ b/src/main/java/org/otterpond/messaging/MessageDispatcher.java
@@ -26,7 +26,7 @@
 import org.otterpond.net.ResponseListener;
 import org.otterpond.net.WorkerConnection;
 import org.otterpond.protocol.WireRecord;
-import org.otterpond.proxy.ProxyHandler;
+import org.otterpond.proxy.GatewayHeaders;
 import org.otterpond.proxy.ProxyMetrics;
 import org.otterpond.proxy.ServiceDirectory;
 import org.otterpond.proxy.ServiceEndpoints;
@@ -50,7 +50,6 @@
   private static final long MOST_PAUSE = 3_000_000;
   private static final long NO_ROOM = 20_000;
   private static final long UNREADABLE = 500_000;
-  private static final long FULL_SHUN = 60_000;
   private static final int WANTS = 6;
 
   private final EventLoop eventLoop;
@@ -96,7 +95,7 @@
     this.eventLoop = eventLoop;
     this.tally = tally;
     this.services =
-        new ServiceDirectory(eventLoop, settings, random, f -> pumpSoon(lane(f.name), 0));
+        new ServiceDirectory(eventLoop, settings, random, f -> pumpSoon(lane(f.name()), 0));
   }
 
   public void fit(ControlPlaneAgent control, MessageStore messageStore) {
@@ -110,7 +109,7 @@
     return lanes.computeIfAbsent(
         service,
         s -> {
-          Lane l = new Lane(services.of(s));
+          Lane l = new Lane(services.service(s));
           settle(l, s);
           return l;
         });
@@ -127,7 +126,7 @@
         String id = FIXED + s.name() + "@" + s.fixedEndpoint();
         now.add(id);
         if (fixed.add(id)) {
-          services.worker(endpoint(id, s, WorkerState.IN_SERVICE));
+          services.updateWorker(endpoint(id, s, WorkerState.IN_SERVICE));
         }
       }
     }
@@ -137,7 +136,7 @@
             return false;
           }
           String service = id.substring(FIXED.length(), id.lastIndexOf('@'));
-          services.worker(
+          services.updateWorker(
               new WorkerInstance(
                   id,
                   service,
@@ -171,18 +170,18 @@
   private void settle(Lane l, String service) {
     Service s = configuration == null ? null : configuration.services().get(service);
     l.ceiling = s == null || s.ratePerSecond() <= 0 ? null : QuotaOwner.ceilingOf(service);
-    l.endpoints.connections(s == null ? Integer.MAX_VALUE : s.maxConnections() / callers);
+    l.endpoints.setConnectionLimit(s == null ? Integer.MAX_VALUE : s.maxConnections() / callers);
   }
 
   @Override
   public void worker(WorkerInstance v) {
-    services.worker(v);
+    services.updateWorker(v);
   }
 
   @Override
   public void fleet(Map<String, Integer> nodesInZone, int rank) {
     callers = Math.max(1, nodesInZone.values().stream().mapToInt(Integer::intValue).sum());
-    services.fleet(nodesInZone, rank);
+    services.updateNodes(nodesInZone, rank);
     lanes.forEach((name, l) -> settle(l, name));
   }
 
@@ -265,7 +264,7 @@
         continue;
       }
       long now = EventLoop.now();
-      WorkerEndpoint h = l.endpoints.pick(now, Set.of());
+      WorkerEndpoint h = l.endpoints.select(now, Set.of());
       if (h == null) {
         pumpSoon(l, NO_ROOM);
         return;
@@ -319,7 +318,7 @@
       if (!d.queue().serving() || d.message().state() != Message.State.QUEUED) {
         continue;
       }
-      WorkerEndpoint h = l.endpoints.pick(EventLoop.now(), Set.of());
+      WorkerEndpoint h = l.endpoints.select(EventLoop.now(), Set.of());
       if (h == null) {
         l.waiting.add(d);
         break;
@@ -340,15 +339,13 @@
     Message m = d.message();
     long guard = r == null ? GUARD : r.guardMicros();
     int attempts = r == null ? 1 : r.maxAttempts();
-    h.took(EventLoop.now());
+    h.attemptStarted(EventLoop.now());
     underWay.merge(d.queue(), 1, Integer::sum);
     d.queue()
         .whole(
             m,
             whole -> {
-              if (whole == null
-                  || !d.queue().serving()
-                  || h.worker.state() != WorkerState.IN_SERVICE) {
+              if (whole == null || !d.queue().serving() || !h.inService()) {
                 over(l, d, h);
                 d.queue().later(m, whole == null ? UNREADABLE : 0);
                 return;
@@ -358,7 +355,7 @@
   }
 
   private void over(Lane l, Delivery d, WorkerEndpoint h) {
-    h.released(EventLoop.now());
+    h.attemptEnded(EventLoop.now());
     MessagePartition q = d.queue();
     if (underWay.merge(q, -1, Integer::sum) <= 0) {
       underWay.remove(q);
@@ -379,15 +376,15 @@
     for (int i = 0; i + 1 < headers.size(); i += 2) {
       request.header(headers.get(i), headers.get(i + 1));
     }
-    request.header(ProxyHandler.TIME_LEFT, Long.toString(Math.max(1, guard / 1000)));
+    request.header(GatewayHeaders.TIME_REMAINING, Long.toString(Math.max(1, guard / 1000)));
     if (!h.id().startsWith(FIXED)) {
-      request.header(ProxyHandler.EXPECTED, h.id());
+      request.header(GatewayHeaders.EXPECTED_INSTANCE, h.id());
     }
-    request.header(ProxyHandler.TENANT, m.tenant());
+    request.header(GatewayHeaders.TENANT_ID, m.tenant());
     byte[] body = whole.bytes("body");
     request.body(body == null ? HttpMessage.EMPTY : body);
     long sent = EventLoop.now();
-    tally.forwarded.increment();
+    tally.attempts.increment();
     boolean[] done = {false};
     WorkerConnection[] connection = {null};
     EventLoop.Timer timer =
@@ -405,33 +402,34 @@
               }
             });
     connection[0] =
-        h.pool.send(
-            request,
-            Math.min(CONNECT, guard),
-            Long.MAX_VALUE,
-            new ResponseListener() {
-              @Override
-              public void answered(HttpMessage answer) {
-                if (!done[0]) {
-                  done[0] = true;
-                  timer.cancel();
-                  onAnswer(l, d, h, answer, sent, attempts);
-                  over(l, d, h);
-                }
-              }
-
-              @Override
-              public void failed(boolean written, String why) {
-                if (!done[0]) {
-                  done[0] = true;
-                  timer.cancel();
-                  h.failed(EventLoop.now());
-                  tally.failures.increment();
-                  again(d, written ? UNKNOWN : TURNED_AWAY);
-                  over(l, d, h);
-                }
-              }
-            });
+        h.connectionPool()
+            .send(
+                request,
+                Math.min(CONNECT, guard),
+                Long.MAX_VALUE,
+                new ResponseListener() {
+                  @Override
+                  public void answered(HttpMessage answer) {
+                    if (!done[0]) {
+                      done[0] = true;
+                      timer.cancel();
+                      onAnswer(l, d, h, answer, sent, attempts);
+                      over(l, d, h);
+                    }
+                  }
+
+                  @Override
+                  public void failed(boolean written, String why) {
+                    if (!done[0]) {
+                      done[0] = true;
+                      timer.cancel();
+                      h.attemptFailed(EventLoop.now());
+                      tally.failedAttempts.increment();
+                      again(d, written ? UNKNOWN : TURNED_AWAY);
+                      over(l, d, h);
+                    }
+                  }
+                });
   }
 
   private void onAnswer(
@@ -439,22 +437,22 @@
     Message m = d.message();
     long now = EventLoop.now();
     int status = answer.status();
-    if (answer.first(ProxyHandler.NOT_EXECUTED) != null || status == 421) {
-      tally.turnedAway.increment();
+    if (answer.first(GatewayHeaders.NOT_EXECUTED) != null || status == 421) {
+      tally.rejectedByWorker.increment();
       if (status == 421) {
-        h.failed(now);
+        h.attemptFailed(now);
       } else if (status == 503) {
-        h.shunUntil = now + FULL_SHUN;
+        h.requestRejected(now);
       }
       again(d, TURNED_AWAY);
       return;
     }
-    h.worked(now);
-    l.endpoints.pace.answered(now - sent);
-    if (status / 100 == 2 && answer.first(ProxyHandler.SEAL) != null) {
-      tally.answered.increment();
+    h.requestExecuted(now);
+    l.endpoints.latency().add(now - sent);
+    if (status / 100 == 2 && answer.first(GatewayHeaders.SERVER_SEAL) != null) {
+      tally.responses.increment();
       pauses.remove(m.id());
-      store.ended(d.queue(), m, Message.State.COMPLETED, answer.first(ProxyHandler.SEAL));
+      store.ended(d.queue(), m, Message.State.COMPLETED, answer.first(GatewayHeaders.SERVER_SEAL));
     } else if (status == 422) {
       pauses.remove(m.id());
       store.ended(d.queue(), m, Message.State.DEAD_LETTER, null);
--- a/src/main/java/org/otterpond/messaging/MessageIngestHandler.java
+++ b/src/main/java/org/otterpond/messaging/MessageIngestHandler.java
@@ -11,6 +11,7 @@
 import java.util.Map;
 import java.util.Random;
 import java.util.Set;
+import java.util.concurrent.ThreadLocalRandom;
 import org.apache.hc.core5.http.Header;
 import org.otterpond.config.GatewayConfiguration;
 import org.otterpond.config.Route;
@@ -22,15 +23,19 @@
 import org.otterpond.net.HttpMessage;
 import org.otterpond.net.ServerExchange;
 import org.otterpond.protocol.WireRecord;
-import org.otterpond.proxy.ProxyHandler;
+import org.otterpond.proxy.GatewayHeaders;
+import org.otterpond.proxy.HeaderFilter;
+import org.otterpond.proxy.InvalidRequestException;
+import org.otterpond.proxy.MessageRequestHandler;
 import org.otterpond.proxy.ProxyMetrics;
+import org.otterpond.proxy.TimeRemaining;
 import org.otterpond.replication.GroupConfiguration;
 
 /**
  * Takes messages in: finds the partition, hands the message to its primary, answers 202 once all
  * replicas have it.
  */
-public final class MessageIngestHandler {
+public final class MessageIngestHandler implements MessageRequestHandler {
   static final String MESSAGE_ID = "X-Otterpond-Message-Id";
   private static final String ORDER = "X-Otterpond-Ordering-Key";
   private static final String NOT_BEFORE = "X-Otterpond-Not-Before";
@@ -76,19 +81,21 @@
   }
 
   public MessageIngestHandler(
-      EventLoop eventLoop, ControlPlaneAgent node, Random random, long life, ProxyMetrics tally) {
+      EventLoop eventLoop, ControlPlaneAgent node, long life, ProxyMetrics tally) {
     this.eventLoop = eventLoop;
     this.node = node;
     this.stores = node.stores();
-    this.random = random;
+    this.random = new Random(ThreadLocalRandom.current().nextLong());
     this.life = Long.toHexString(life);
     this.tally = tally;
   }
 
-  public int open() {
+  @Override
+  public int inFlight() {
     return inHand.size();
   }
 
+  @Override
   public void assigned(WireRecord entry) {
     if (entry.text("key").startsWith(PARTITION)) {
       GroupConfiguration v = GroupConfiguration.of(entry);
@@ -97,14 +104,15 @@
     }
   }
 
-  /** Whether a path asks for a message. */
-  public static boolean asks(String path) {
+  @Override
+  public boolean isMessageQuery(String path) {
     return path.startsWith(STATE) || path.startsWith(BODY);
   }
 
   // ---------------------------------------------------------------- accept
 
-  public void take(ServerExchange call, Route route, Tenant tenant, GatewayConfiguration c) {
+  @Override
+  public void submit(ServerExchange call, Route route, Tenant tenant, GatewayConfiguration c) {
     HttpMessage r = call.request();
     String order = r.first(ORDER);
     if (route.ordered() && (order == null || order.isEmpty())) {
@@ -115,13 +123,13 @@
     long left;
     long delay;
     try {
-      left = ProxyHandler.timeLeft(r, DEFAULT_LEFT);
+      left = TimeRemaining.micros(r, DEFAULT_LEFT);
       delay = delay(r);
-    } catch (NumberFormatException e) {
+    } catch (InvalidRequestException e) {
       call.answer(GatewayResponses.problem(400, e.getMessage()));
       return;
     }
-    String operation = r.first(ProxyHandler.KEY);
+    String operation = r.first(GatewayHeaders.OPERATION_KEY);
     String tenantName = tenant == null ? null : tenant.name();
     Handover h = new Handover();
     h.call = call;
@@ -135,7 +143,7 @@
             ? "order " + order
             : operation != null ? "operation " + operation : "id " + own;
     if (count == 0) {
-      tally.refused.increment();
+      tally.rejected.increment();
       call.answer(GatewayResponses.unavailable("no partitions yet", 0.3));
       return;
     }
@@ -168,7 +176,7 @@
     }
   }
 
-  private static long delay(HttpMessage r) {
+  private static long delay(HttpMessage r) throws InvalidRequestException {
     String told = r.first(NOT_BEFORE);
     if (told == null) {
       return 0;
@@ -177,10 +185,10 @@
     try {
       ms = Double.parseDouble(told.trim());
     } catch (NumberFormatException e) {
-      throw new NumberFormatException(NOT_BEFORE + ": a number of milliseconds is wanted");
+      throw new InvalidRequestException(NOT_BEFORE + ": must be a number of milliseconds", e);
     }
     if (!(ms >= 0) || 1000 * ms > MOST_DELAY) {
-      throw new NumberFormatException(NOT_BEFORE + ": outside 0 to 30 days");
+      throw new InvalidRequestException(NOT_BEFORE + ": outside 0 to 30 days");
     }
     return (long) Math.ceil(1000 * ms);
   }
@@ -188,9 +196,9 @@
   /** What goes along to the worker, as name, value, name, value. */
   private static List<Object> headers(HttpMessage r, boolean tenanted) {
     HttpMessage m = HttpMessage.request(r.method(), r.target());
-    ProxyHandler.copyHeaders(r, m, true);
+    HeaderFilter.copyRequestHeaders(r, m);
     if (tenanted) {
-      m.headers().removeHeaders(ProxyHandler.AUTHORIZATION);
+      m.headers().removeHeaders(GatewayHeaders.AUTHORIZATION);
     }
     List<Object> out = new ArrayList<>();
     for (Header h : m.headers().getHeaders()) {
@@ -267,7 +275,7 @@
     }
     if (r != null && r.has("taken")) {
       h.paid = false;
-      tally.answered.increment();
+      tally.responses.increment();
       finish(
           h,
           HttpMessage.response(202)
@@ -300,7 +308,7 @@
 
   /** Promises that the message was not taken and never will be. */
   private void refuse(Handover h, String cause) {
-    tally.refused.increment();
+    tally.rejected.increment();
     finish(h, GatewayResponses.unavailable(cause, 0.1 + 0.2 * random.nextDouble()));
   }
 
@@ -316,7 +324,7 @@
     h.call.answer(answer);
   }
 
-  /** The node ends: whoever still waits gets an answer. */
+  @Override
   public void endAll() {
     for (Handover h : new ArrayList<>(inHand)) {
       h.doubtful |= h.asked;
@@ -326,7 +334,8 @@
 
   // ------------------------------------------------------------- questions
 
-  public void question(ServerExchange call, Tenant tenant) {
+  @Override
+  public void query(ServerExchange call, Tenant tenant) {
     HttpMessage r = call.request();
     boolean body = r.path().startsWith(BODY);
     String id = r.path().substring((body ? BODY : STATE).length());
--- a/src/main/java/org/otterpond/proxy/Attempt.java
+++ b/src/main/java/org/otterpond/proxy/Attempt.java
@@ -2,31 +2,35 @@
 
 import org.otterpond.net.WorkerConnection;
 
-/** One sending of a request to one worker, until it is answered, fails or is given up. */
+/** One transmission of a request to one worker, until it is answered, fails or is abandoned. */
 final class Attempt {
   final WorkerEndpoint endpoint;
-  private final long sentAt;
+  private final long sentAtMicros;
+
+  /** Null until the request is handed to a connection, or if none could be opened. */
   WorkerConnection connection;
 
-  Attempt(WorkerEndpoint endpoint, long sentAt) {
+  Attempt(WorkerEndpoint endpoint, long sentAtMicros) {
     this.endpoint = endpoint;
-    this.sentAt = sentAt;
+    this.sentAtMicros = sentAtMicros;
   }
 
   /**
-   * Gives it up. Whether the worker may have it: a byte that the kernel took may arrive yet, others
-   * never will.
+   * Closes the connection.
+   *
+   * @return whether the worker may receive or have received the request: bytes that the kernel has
+   *     accepted may still arrive, others never will
    */
   boolean abandon() {
     return connection != null && connection.abandon();
   }
 
-  long sentAt() {
-    return sentAt;
+  long sentAtMicros() {
+    return sentAtMicros;
   }
 
-  /** Whether the worker has answered nothing at all, to anybody here, since it was sent this. */
-  boolean silent() {
-    return endpoint.quietSince() <= sentAt;
+  /** Returns whether the worker has answered no request of this node since this one was sent. */
+  boolean workerSilentSinceSent() {
+    return endpoint.lastResponseAtMicros() <= sentAtMicros;
   }
 }
--- a/src/main/java/org/otterpond/proxy/IdempotentResponseCache.java
+++ b/src/main/java/org/otterpond/proxy/IdempotentResponseCache.java
@@ -3,46 +3,59 @@
 import java.util.Iterator;
 import java.util.LinkedHashMap;
 import java.util.Map;
-import org.otterpond.protocol.WireRecord;
 
 /**
- * The answers of keyed operations that this node ran, kept for repeats of them: the ledger knows
- * which node holds one, and a repeat met elsewhere fetches it from here. Bounded by age and bytes,
- * the oldest go first; a repeat whose answer has gone gets an answer that promises nothing.
+ * The outcomes of keyed operations that this node has forwarded, stored for repeats. The core knows
+ * which node has one; a repeat that arrives elsewhere fetches it from here.
+ *
+ * <p>Bounded by age and bytes, the oldest go first. A repeat whose outcome has been dropped gets a
+ * response that promises nothing.
  */
 final class IdempotentResponseCache {
-  private record Kept(String token, WireRecord answer, long at, int size) {}
+  private static final int ENTRY_OVERHEAD_BYTES = 400;
 
-  private final long windowMicros;
-  private final long byteBound;
-  private final LinkedHashMap<String, Kept> kept = new LinkedHashMap<>();
-  private long bytes;
+  private record Entry(String token, RunOutcome outcome, long storedAtMicros, int bytes) {}
 
-  IdempotentResponseCache(long windowMicros, long byteBound) {
-    this.windowMicros = windowMicros;
-    this.byteBound = byteBound;
+  private final long retentionMicros;
+  private final long maxBytes;
+  private final LinkedHashMap<String, Entry> entries = new LinkedHashMap<>();
+  private long totalBytes;
+
+  IdempotentResponseCache(long retentionMicros, long maxBytes) {
+    this.retentionMicros = retentionMicros;
+    this.maxBytes = maxBytes;
+  }
+
+  void put(String key, String token, RunOutcome outcome, long nowMicros) {
+    Entry replaced = entries.remove(key);
+    totalBytes -= replaced == null ? 0 : replaced.bytes();
+    Entry entry = new Entry(token, outcome, nowMicros, sizeOf(outcome));
+    entries.put(key, entry);
+    totalBytes += entry.bytes();
+    evict(nowMicros);
+  }
+
+  private static int sizeOf(RunOutcome outcome) {
+    int bodyBytes =
+        outcome instanceof RunOutcome.StoredResponse response ? response.body().length : 0;
+    return ENTRY_OVERHEAD_BYTES + bodyBytes;
   }
 
-  void put(String key, String token, WireRecord answer, long now) {
-    byte[] body = answer.bytes("body");
-    int size = 400 + (body == null ? 0 : body.length);
-    Kept old = kept.remove(key);
-    bytes += size - (old == null ? 0 : old.size());
-    kept.put(key, new Kept(token, answer, now, size));
-    Iterator<Map.Entry<String, Kept>> it = kept.entrySet().iterator();
-    while (it.hasNext()) {
-      Kept k = it.next().getValue();
-      if (now - k.at() <= windowMicros && bytes <= byteBound) {
+  private void evict(long nowMicros) {
+    Iterator<Map.Entry<String, Entry>> oldestFirst = entries.entrySet().iterator();
+    while (oldestFirst.hasNext()) {
+      Entry oldest = oldestFirst.next().getValue();
+      if (nowMicros - oldest.storedAtMicros() <= retentionMicros && totalBytes <= maxBytes) {
         return;
       }
-      bytes -= k.size();
-      it.remove();
+      totalBytes -= oldest.bytes();
+      oldestFirst.remove();
     }
   }
 
-  /** The answer of that very run, or null. */
-  WireRecord get(String key, String token) {
-    Kept k = kept.get(key);
-    return k != null && k.token().equals(token) ? k.answer() : null;
+  /** Returns the outcome of the execution under that lock, or null. */
+  RunOutcome get(String key, String token) {
+    Entry entry = entries.get(key);
+    return entry != null && entry.token().equals(token) ? entry.outcome() : null;
   }
 }
--- a/src/main/java/org/otterpond/proxy/LatencyAverage.java
+++ b/src/main/java/org/otterpond/proxy/LatencyAverage.java
@@ -1,29 +1,29 @@
 package org.otterpond.proxy;
 
-/**
- * How long a service usually takes to answer, as this node sees it: a moving mean over its latest
- * answers.
- */
+/** Moving average of the response times of a service, as this node measures them. */
 public final class LatencyAverage {
-  private static final int MEMORY = 64;
+  private static final int WINDOW_RESPONSES = 64;
 
-  /**
-   * A long answer counts as this many usual ones at most, so that a few slow workers do not pass
-   * for the usual.
-   */
-  private static final double LONGEST = 3;
+  /** From this number of responses on, outliers are limited. */
+  private static final int LIMIT_FROM = WINDOW_RESPONSES / 4;
 
-  private double mean;
-  private int seen;
+  /** A response counts as this many averages at most, so that a few slow workers do not skew it. */
+  private static final double OUTLIER_LIMIT = 3;
 
-  public void answered(long micros) {
-    double counted = seen < MEMORY / 4 ? micros : Math.min(micros, LONGEST * mean);
-    seen = Math.min(seen + 1, MEMORY);
-    mean += (counted - mean) / seen;
+  private double meanMicros;
+  private int responses;
+
+  /** Adds the response time of one request, in microseconds. */
+  public void add(long latencyMicros) {
+    double latency = latencyMicros;
+    double counted =
+        responses < LIMIT_FROM ? latency : Math.min(latency, OUTLIER_LIMIT * meanMicros);
+    responses = Math.min(responses + 1, WINDOW_RESPONSES);
+    meanMicros += (counted - meanMicros) / responses;
   }
 
-  /** In microseconds; 0 as long as nothing has been answered. */
-  double usual() {
-    return mean;
+  /** Returns the average in microseconds; 0 before the first response. */
+  double meanMicros() {
+    return meanMicros;
   }
 }
--- a/src/main/java/org/otterpond/proxy/RequestContext.java
+++ b/src/main/java/org/otterpond/proxy/RequestContext.java
@@ -10,89 +10,111 @@
 import org.otterpond.net.EventLoop;
 import org.otterpond.net.ServerExchange;
 
-/** One request on its way: where it goes, what it may still try, and until when. */
+/** The state of one request from its admission until the last of its attempts has ended. */
 final class RequestContext {
-  final ServerExchange call;
+  /** The partition key of requests to services that are not partitioned. */
+  static final int NO_PARTITION_KEY = -1;
+
+  /** Shortest rest of a request's time in which an attempt is worth beginning. */
+  static final long MIN_TIME_LEFT_MICROS = 5_000;
+
+  final ServerExchange exchange;
   final Route route;
 
-  /**
-   * The tenant whose key came with the request; null on public routes and where there are no
-   * tenants.
-   */
+  /** Whose access key came with the request; null on public routes and without tenants. */
   final Tenant tenant;
 
   final ServiceEndpoints endpoints;
-  final Set<String> tried = new HashSet<>();
-  private final long deadline;
-  private final long refuseAt;
+  final Set<String> triedInstances = new HashSet<>();
+  final List<Attempt> openAttempts = new ArrayList<>();
+  private long deadlineMicros;
+  private long rejectAtMicros;
+
+  /** Whether the configuration has tenants, so that the access key is not for the worker. */
+  boolean accessKeyHidden;
+
+  int attemptCount;
+  int partitionKey = NO_PARTITION_KEY;
 
-  /** Whether there are tenants, so that an access key is no worker's business. */
-  boolean tenanted;
+  /** The idempotency key with the tenant or host that it belongs to; null on other routes. */
+  String operationKey;
 
-  int attempts;
-  String key;
+  /** Names this request in the lock on its idempotency key. */
+  String lockToken;
 
-  /** The key by which a divided service is split, or -1. */
-  int partitionKey = -1;
+  EventLoop.Timer deadlineTimer;
+  EventLoop.Timer hedgeTimer;
 
-  String token;
-  final List<Attempt> open = new ArrayList<>();
-  EventLoop.Timer timer;
-  EventLoop.Timer hedge;
+  /** Whether the client has its response; from then on no attempt may begin. */
   boolean finished;
 
-  /** Whether the operation key is this request's. */
-  boolean claimed;
+  /** Whether the lock on the idempotency key was granted. */
+  boolean keyLocked;
 
-  boolean freed;
+  boolean keyReleased;
 
-  /** Whether a token of the tenant's quota is taken for the next run. */
-  boolean paid;
+  /** Whether a token of the tenant's quota is reserved for the next attempt. */
+  boolean quotaTokenReserved;
 
-  /** Whether the outcome of a keyed run, known or not, is kept for repeats. */
-  boolean settled;
+  /** Whether the outcome of a keyed operation, known or not, is stored for repeats. */
+  boolean outcomeStored;
 
-  /** True once a byte of the request may have reached a worker that has not disowned it. */
-  boolean mayHaveRun;
+  /** Set once a worker may have executed the request; never cleared. */
+  boolean mayHaveExecuted;
 
-  RequestContext(
-      ServerExchange call,
-      Route route,
-      Tenant tenant,
-      ServiceEndpoints endpoints,
-      long deadline,
-      long refuseAt) {
-    this.call = call;
-    this.tenant = tenant;
+  RequestContext(ServerExchange exchange, Route route, Tenant tenant, ServiceEndpoints endpoints) {
+    this.exchange = exchange;
     this.route = route;
+    this.tenant = tenant;
     this.endpoints = endpoints;
-    this.deadline = deadline;
-    this.refuseAt = refuseAt;
   }
 
-  int priority() {
-    return tenant == null ? route.priority() : tenant.priority();
+  /**
+   * Sets until when the request may take and until when it may wait for its first worker, both in
+   * microseconds from its arrival.
+   */
+  void setTimeLimits(long totalMicros, long queueMicros) {
+    deadlineMicros = exchange.receivedAt() + totalMicros;
+    rejectAtMicros = exchange.receivedAt() + queueMicros;
   }
 
-  /** Whether its runs are counted against a quota. */
-  boolean counted() {
-    return tenant != null && tenant.limited();
+  long deadlineMicros() {
+    return deadlineMicros;
+  }
+
+  /** Returns when the request is rejected if no worker could take it by then. */
+  long rejectAtMicros() {
+    return rejectAtMicros;
+  }
+
+  long timeLeftMicros(long now) {
+    return deadlineMicros - now;
+  }
+
+  /** Returns whether more than half of the time of the request is left. */
+  boolean moreThanHalfLeft(long now) {
+    return timeLeftMicros(now) > timeLeftMicros(exchange.receivedAt()) / 2;
   }
 
-  long deadline() {
-    return deadline;
+  /** Returns the rank in queues; lower values go first. */
+  int priority() {
+    return tenant == null ? route.priority() : tenant.priority();
   }
 
-  /** When to refuse it if no worker has been offered it by then. */
-  long refuseAt() {
-    return refuseAt;
+  /** Returns whether attempts of the request count against a quota. */
+  boolean countsAgainstQuota() {
+    return tenant != null && tenant.limited();
   }
 
   boolean keyed() {
     return route.type() == RouteType.KEYED;
   }
 
-  boolean repeatable() {
+  boolean idempotent() {
     return route.type() == RouteType.IDEMPOTENT;
   }
+
+  boolean hasPartitionKey() {
+    return partitionKey != NO_PARTITION_KEY;
+  }
 }
--- a/src/main/java/org/otterpond/proxy/RetryBudget.java
+++ b/src/main/java/org/otterpond/proxy/RetryBudget.java
@@ -1,59 +1,68 @@
 package org.otterpond.proxy;
 
 /**
- * What one node may spend on second attempts at one service. A request earns a part of an attempt,
- * which can be spent within one window of the budget and not later. So in any window a node spends
- * at most what its requests of that window and of the one before have earned, and the sum over all
- * nodes is at most twice the part times the requests of whichever of the two had more: the bound
- * holds for any number of nodes, however few requests each has, and leaves the budget's slack whole
- * for requests that were counted at another moment than they were carried.
+ * Limits the retries and hedged requests of one node to one service.
+ *
+ * <p>Each request earns a fraction of an attempt, which can be spent within one window and expires
+ * then. So in any window a node spends at most what its requests of that window and of the one
+ * before have earned. The sum over all nodes is at most twice the fraction times the requests of
+ * whichever of the two windows had more, for any number of nodes and however few requests each has.
+ * The slack of the budget is left for requests that were counted at another moment than they were
+ * forwarded.
  */
 final class RetryBudget {
-  /** What was earned together expires together, this many times in a window. */
-  private static final int SLOTS = 8;
+  /** What was earned in one slot expires together; a window has this many. */
+  private static final int SLOTS_PER_WINDOW = 8;
 
   private final long slotMicros;
-  private final double[] earned = new double[SLOTS];
-  private long newest = Long.MIN_VALUE;
+  private final double[] earnedBySlot = new double[SLOTS_PER_WINDOW];
+  private long newestSlot = Long.MIN_VALUE;
 
   RetryBudget(long windowMicros) {
-    this.slotMicros = Math.max(1, windowMicros / SLOTS);
+    this.slotMicros = Math.max(1, windowMicros / SLOTS_PER_WINDOW);
   }
 
-  void earn(double part, long now) {
-    earned[at(turn(now))] += part;
+  /** Adds a fraction of an attempt. */
+  void earn(double attempts, long nowMicros) {
+    earnedBySlot[index(advance(nowMicros))] += attempts;
   }
 
-  boolean spend(long now) {
-    long slot = turn(now);
-    double sum = 0;
-    for (double e : earned) {
-      sum += e;
-    }
-    if (sum < 1) {
+  /** Spends one attempt, the oldest earnings first; returns false if less than one is left. */
+  boolean spend(long nowMicros) {
+    long currentSlot = advance(nowMicros);
+    if (total() < 1) {
       return false;
     }
     double due = 1;
-    for (long s = slot - SLOTS + 1; due > 0; s++) {
-      double taken = Math.min(due, earned[at(s)]);
-      earned[at(s)] -= taken;
-      // Rounding may leave the newest a hair short of the rest.
-      due = s == slot ? 0 : due - taken;
+    for (long slot = currentSlot - SLOTS_PER_WINDOW + 1; due > 0; slot++) {
+      double taken = Math.min(due, earnedBySlot[index(slot)]);
+      earnedBySlot[index(slot)] -= taken;
+      // Rounding may leave the newest slot slightly short of the rest.
+      due = slot == currentSlot ? 0 : due - taken;
     }
     return true;
   }
 
-  /** Lets what has expired go; the slot of now. */
-  private long turn(long now) {
-    long slot = Math.floorDiv(now, slotMicros);
-    for (long s = Math.max(newest + 1, slot - SLOTS + 1); s <= slot; s++) {
-      earned[at(s)] = 0;
+  private double total() {
+    double sum = 0;
+    for (double earned : earnedBySlot) {
+      sum += earned;
+    }
+    return sum;
+  }
+
+  /** Drops what has expired and returns the current slot. */
+  private long advance(long nowMicros) {
+    long currentSlot = Math.floorDiv(nowMicros, slotMicros);
+    long firstExpired = Math.max(newestSlot + 1, currentSlot - SLOTS_PER_WINDOW + 1);
+    for (long slot = firstExpired; slot <= currentSlot; slot++) {
+      earnedBySlot[index(slot)] = 0;
     }
-    newest = Math.max(newest, slot);
-    return slot;
+    newestSlot = Math.max(newestSlot, currentSlot);
+    return currentSlot;
   }
 
-  private static int at(long slot) {
-    return (int) Math.floorMod(slot, SLOTS);
+  private static int index(long slot) {
+    return Math.floorMod(slot, SLOTS_PER_WINDOW);
   }
 }
--- a/src/main/java/org/otterpond/proxy/ServiceDirectory.java
+++ b/src/main/java/org/otterpond/proxy/ServiceDirectory.java
@@ -8,117 +8,124 @@
 import org.otterpond.control.state.WorkerInstance;
 import org.otterpond.control.state.WorkerState;
 import org.otterpond.net.EventLoop;
-import org.otterpond.net.PeerTransport;
-import org.otterpond.net.WorkerConnectionPool;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** All services on this node, with their workers as the news tells them. */
+/** All services on this node with their workers, as the control plane reports them. */
 public final class ServiceDirectory {
   private static final Logger LOG = LoggerFactory.getLogger(ServiceDirectory.class);
-  private static final long ANSWER_BOUND = 64L << 20;
-  private static final long SWEEP = 1_000_000;
+  private static final long MAX_RESPONSE_BYTES = 64L << 20;
+  private static final long IDLE_SWEEP_MICROS = 1_000_000;
+  private static final String UNKNOWN_ZONE = "-";
 
   private final EventLoop eventLoop;
   private final NodeSettings settings;
   private final Random random;
-  private final Consumer<ServiceEndpoints> room;
-  private final Map<String, ServiceEndpoints> all = new HashMap<>();
-  private final Map<String, String> serviceOf = new HashMap<>();
-  private ZoneShares zoneShares = ZoneShares.alone("-");
+  private final Consumer<ServiceEndpoints> capacityListener;
+  private final Map<String, ServiceEndpoints> services = new HashMap<>();
+  private final Map<String, String> serviceByInstance = new HashMap<>();
+  private ZoneShares zoneShares = ZoneShares.singleNode(UNKNOWN_ZONE);
 
   /**
-   * @param room told of a service that may have room for more requests
+   * Creates an empty directory and starts its timers.
+   *
+   * @param capacityListener notified of a service that may have a free slot for another request
    */
   public ServiceDirectory(
-      EventLoop eventLoop, NodeSettings settings, Random random, Consumer<ServiceEndpoints> room) {
+      EventLoop eventLoop,
+      NodeSettings settings,
+      Random random,
+      Consumer<ServiceEndpoints> capacityListener) {
     this.eventLoop = eventLoop;
     this.settings = settings;
     this.random = random;
-    this.room = room;
-    eventLoop.after(SWEEP, this::sweep);
-    eventLoop.after(ServiceEndpoints.SAMPLE, this::sample);
+    this.capacityListener = capacityListener;
+    eventLoop.after(IDLE_SWEEP_MICROS, this::closeIdleConnections);
+    eventLoop.after(OutlierEjection.SAMPLE_INTERVAL_MICROS, this::sampleOutliers);
   }
 
-  Iterable<ServiceEndpoints> each() {
-    return all.values();
+  Iterable<ServiceEndpoints> all() {
+    return services.values();
   }
 
-  public ServiceEndpoints of(String service) {
-    return all.computeIfAbsent(
-        service,
-        s -> {
-          ServiceEndpoints f = new ServiceEndpoints(s, random, settings);
-          f.zoneShares(zoneShares);
-          return f;
-        });
+  /** Returns the service with a name; creates it without workers if it is not known yet. */
+  public ServiceEndpoints service(String name) {
+    return services.computeIfAbsent(name, this::newService);
   }
 
-  public void fleet(Map<String, Integer> nodesInZone, int rank) {
-    zoneShares = new ZoneShares(settings.zone(), Map.copyOf(nodesInZone), rank);
-    all.values().forEach(f -> f.zoneShares(zoneShares));
+  private ServiceEndpoints newService(String name) {
+    ServiceEndpoints service = new ServiceEndpoints(name, random, settings);
+    service.setZoneShares(zoneShares);
+    return service;
   }
 
-  public void worker(WorkerInstance v) {
-    String service =
-        v.service() == null || v.service().isEmpty() ? serviceOf.get(v.id()) : v.service();
-    if (service == null) {
-      return;
-    }
-    ServiceEndpoints f = of(service);
-    WorkerEndpoint h = f.endpoints.get(v.id());
-    if (v.state().compareTo(WorkerState.LOST) >= 0) {
-      if (h != null) {
-        h.worker = v;
-        h.pool.close();
-        f.endpoints.remove(v.id());
-        serviceOf.remove(v.id());
-        f.changed();
-      }
+  /** Takes in the number of nodes by zone and the position of this node in its own. */
+  public void updateNodes(Map<String, Integer> nodesByZone, int rank) {
+    zoneShares = new ZoneShares(settings.zone(), Map.copyOf(nodesByZone), rank);
+    services.values().forEach(service -> service.setZoneShares(zoneShares));
+  }
+
+  /** Takes in the newest state of a worker. */
+  public void updateWorker(WorkerInstance worker) {
+    String serviceName =
+        worker.service() == null || worker.service().isEmpty()
+            ? serviceByInstance.get(worker.id())
+            : worker.service();
+    if (serviceName == null) {
       return;
     }
-    if (h == null) {
-      try {
-        h =
-            new WorkerEndpoint(
-                v,
-                new WorkerConnectionPool(
-                    eventLoop,
-                    PeerTransport.address(v.address()),
-                    ANSWER_BOUND,
-                    ProxyHandler.ATTEMPT_ID),
-                f.pace);
-      } catch (RuntimeException e) {
-        LOG.warn("event=bad_worker_address instance={} address={}", v.id(), v.address());
-        return;
+    ServiceEndpoints service = service(serviceName);
+    WorkerEndpoint endpoint = service.endpoint(worker.id());
+    if (worker.state().compareTo(WorkerState.LOST) >= 0) {
+      remove(service, endpoint, worker);
+    } else if (endpoint != null || add(service, worker)) {
+      service.endpoint(worker.id()).update(worker, EventLoop.now());
+      service.endpointUpdated();
+      if (worker.state() == WorkerState.IN_SERVICE) {
+        capacityListener.accept(service);
       }
-      f.endpoints.put(v.id(), h);
-      serviceOf.put(v.id(), service);
-    } else {
-      h.worker = v;
     }
-    if (v.state() == WorkerState.DRAINING && h.drainingSince == 0) {
-      h.drainingSince = EventLoop.now();
+  }
+
+  private void remove(ServiceEndpoints service, WorkerEndpoint endpoint, WorkerInstance worker) {
+    if (endpoint != null) {
+      endpoint.update(worker, EventLoop.now());
+      endpoint.connectionPool().close();
+      service.remove(endpoint);
+      serviceByInstance.remove(worker.id());
     }
-    f.changed();
-    if (v.state() == WorkerState.IN_SERVICE) {
-      room.accept(f);
+  }
+
+  private boolean add(ServiceEndpoints service, WorkerInstance worker) {
+    try {
+      service.add(
+          new WorkerEndpoint(
+              worker,
+              WorkerConnectionPools.open(eventLoop, worker.address(), MAX_RESPONSE_BYTES),
+              service.latency()));
+    } catch (MalformedAddressException e) {
+      LOG.warn("event=bad_worker_address instance={} address={}", worker.id(), worker.address());
+      return false;
     }
+    serviceByInstance.put(worker.id(), service.name());
+    return true;
   }
 
-  private void sweep() {
-    all.values().forEach(f -> f.endpoints.values().forEach(h -> h.pool.sweep()));
-    eventLoop.after(SWEEP, this::sweep);
+  private void closeIdleConnections() {
+    for (ServiceEndpoints service : services.values()) {
+      service.endpoints().forEach(endpoint -> endpoint.connectionPool().sweep());
+    }
+    eventLoop.after(IDLE_SWEEP_MICROS, this::closeIdleConnections);
   }
 
-  private void sample() {
+  private void sampleOutliers() {
     long now = EventLoop.now();
-    for (ServiceEndpoints f : all.values()) {
-      String line = f.observe(now);
+    for (ServiceEndpoints service : services.values()) {
+      String line = service.sampleOutliers(now);
       if (line != null) {
         LOG.info(line);
       }
     }
-    eventLoop.after(ServiceEndpoints.SAMPLE, this::sample);
+    eventLoop.after(OutlierEjection.SAMPLE_INTERVAL_MICROS, this::sampleOutliers);
   }
 }
--- a/src/main/java/org/otterpond/proxy/UnexecutedKeys.java
+++ b/src/main/java/org/otterpond/proxy/UnexecutedKeys.java
@@ -5,29 +5,31 @@
 import java.util.Map;
 
 /**
- * The claims of this node whose requests ended without a run, for as long as the ledger may hold
- * one of them. A claim is sent again while it is unanswered, so a copy may be granted after the
- * claim was freed, or the word that frees it may be lost; whoever then asks here learns that there
- * was no run, and need not wait the window out.
+ * The lock tokens of this node whose requests ended without an execution, for as long as the core
+ * may have a lock under one of them.
+ *
+ * <p>A lock request is sent again while it is unanswered, so a duplicate may be granted after the
+ * lock was released, or the release may be lost. Whoever then asks here learns that nothing was
+ * executed, and need not wait until the lock expires.
  */
 final class UnexecutedKeys {
-  private final long windowMicros;
-  private final LinkedHashMap<String, Long> endedAt = new LinkedHashMap<>();
+  private final long retentionMicros;
+  private final LinkedHashMap<String, Long> endedAtMicros = new LinkedHashMap<>();
 
-  UnexecutedKeys(long windowMicros) {
-    this.windowMicros = windowMicros;
+  UnexecutedKeys(long retentionMicros) {
+    this.retentionMicros = retentionMicros;
   }
 
-  /** Its request has ended: nothing went to a worker under this claim, and nothing will. */
-  void add(String token, long now) {
-    endedAt.put(token, now);
-    Iterator<Map.Entry<String, Long>> it = endedAt.entrySet().iterator();
-    while (it.hasNext() && now - it.next().getValue() > windowMicros) {
-      it.remove();
+  /** Notes that nothing was sent to a worker under this token and nothing will be. */
+  void add(String token, long nowMicros) {
+    endedAtMicros.put(token, nowMicros);
+    Iterator<Map.Entry<String, Long>> oldestFirst = endedAtMicros.entrySet().iterator();
+    while (oldestFirst.hasNext() && nowMicros - oldestFirst.next().getValue() > retentionMicros) {
+      oldestFirst.remove();
     }
   }
 
-  boolean holds(String token) {
-    return endedAt.containsKey(token);
+  boolean contains(String token) {
+    return endedAtMicros.containsKey(token);
   }
 }
--- a/src/main/java/org/otterpond/proxy/WorkerEndpoint.java
+++ b/src/main/java/org/otterpond/proxy/WorkerEndpoint.java
@@ -1,95 +1,174 @@
 package org.otterpond.proxy;
 
 import org.otterpond.control.state.WorkerInstance;
+import org.otterpond.control.state.WorkerState;
 import org.otterpond.net.WorkerConnectionPool;
 
-/** One worker as this node's data path sees it. */
+/** One worker instance with its connections and its load, as this node sees it. */
 public final class WorkerEndpoint {
-  private static final long SUSPECT_LEAST = 350_000;
+  private static final int REQUESTS_PER_SLOT = 2;
+  private static final double SLOW_START_WEIGHT = 0.5;
+  private static final long MIN_UNRESPONSIVE_MICROS = 350_000;
+  private static final long FAILURE_BACKOFF_MICROS = 100_000;
+  private static final int MAX_BACKOFF_DOUBLINGS = 6;
+
+  /** How long a worker that rejected a request is avoided. */
+  private static final long REJECTION_BACKOFF_MICROS = 60_000;
 
   /**
-   * Work that a sound worker hardly ever goes through, in usual answer times, without giving an
-   * answer.
+   * Work without any response, in average response times, that a healthy worker hardly ever has.
    */
-  private static final double SUSPECT_WORK = 4;
+  private static final double UNRESPONSIVE_WORK = 4;
+
+  private final WorkerConnectionPool connectionPool;
+  private final LatencyAverage latency;
+  private WorkerInstance instance;
+  private long drainingSinceMicros;
+  private int inFlight;
+  private long lastResponseAtMicros;
+
+  /** Sum over the requests in flight of their waiting times since the last response. */
+  private double unansweredMicros;
+
+  private long unansweredCountedAtMicros;
+  private long avoidUntilMicros;
+  private int consecutiveFailures;
+  private double weight = 1.0;
+
+  WorkerEndpoint(
+      WorkerInstance instance, WorkerConnectionPool connectionPool, LatencyAverage latency) {
+    this.instance = instance;
+    this.connectionPool = connectionPool;
+    this.latency = latency;
+  }
 
-  public WorkerInstance worker;
-  public final WorkerConnectionPool pool;
-  private final LatencyAverage pace;
-  int inFlight;
+  /** Returns the identity of the worker instance. */
+  public String id() {
+    return instance.id();
+  }
 
-  /** Since when it says that it leaves; 0 while it does not. */
-  long drainingSince;
+  /** Returns the pool of connections to the worker. */
+  public WorkerConnectionPool connectionPool() {
+    return connectionPool;
+  }
 
-  private long quietSince;
+  /** Returns whether the worker takes new requests. */
+  public boolean inService() {
+    return instance.state() == WorkerState.IN_SERVICE;
+  }
 
-  /** Requests in flight times the time they have waited, since the last answer. */
-  private double unanswered;
+  String zone() {
+    return instance.zone();
+  }
 
-  private long countedAt;
-  public long shunUntil;
-  int failuresInRow;
+  int slots() {
+    return Math.max(1, instance.slots());
+  }
 
-  /** Lowered while the slow-worker flag stands. */
-  double weight = 1.0;
+  /** Takes in the newest state of the worker. */
+  void update(WorkerInstance newest, long nowMicros) {
+    instance = newest;
+    if (newest.state() == WorkerState.DRAINING && drainingSinceMicros == 0) {
+      drainingSinceMicros = nowMicros;
+    }
+  }
 
-  WorkerEndpoint(WorkerInstance worker, WorkerConnectionPool pool, LatencyAverage pace) {
-    this.worker = worker;
-    this.pool = pool;
-    this.pace = pace;
+  /** Returns whether the worker has left service, and that for longer than the given time. */
+  boolean drainingLongerThan(long micros, long nowMicros) {
+    return !inService() && nowMicros - drainingSinceMicros > micros;
   }
 
-  public String id() {
-    return worker.id();
+  /** Notes that an attempt failed; the worker is avoided for a time that doubles each time. */
+  public void attemptFailed(long nowMicros) {
+    consecutiveFailures = Math.min(consecutiveFailures + 1, MAX_BACKOFF_DOUBLINGS);
+    avoidUntilMicros = nowMicros + (FAILURE_BACKOFF_MICROS << consecutiveFailures);
   }
 
-  /** A connection that failed: keep away for a little, longer each time. */
-  public void failed(long now) {
-    failuresInRow = Math.min(failuresInRow + 1, 6);
-    shunUntil = now + (100_000L << failuresInRow);
+  /** Notes that the worker rejected a request as it has no free slot. */
+  public void requestRejected(long nowMicros) {
+    avoidUntilMicros = nowMicros + REJECTION_BACKOFF_MICROS;
   }
 
-  public void worked(long now) {
-    failuresInRow = 0;
-    shunUntil = 0;
-    quietSince = now;
-    unanswered = 0;
-    countedAt = now;
+  /** Notes that the worker has executed a request. */
+  public void requestExecuted(long nowMicros) {
+    consecutiveFailures = 0;
+    avoidUntilMicros = 0;
+    lastResponseAtMicros = nowMicros;
+    unansweredMicros = 0;
+    unansweredCountedAtMicros = nowMicros;
   }
 
-  public void took(long now) {
+  /** Counts a request as in flight. */
+  public void attemptStarted(long nowMicros) {
     if (inFlight == 0) {
-      quietSince = now;
-      unanswered = 0;
+      lastResponseAtMicros = nowMicros;
+      unansweredMicros = 0;
     } else {
-      unanswered = unanswered(now);
+      unansweredMicros = unansweredMicros(nowMicros);
     }
-    countedAt = now;
+    unansweredCountedAtMicros = nowMicros;
     inFlight++;
   }
 
-  public void released(long now) {
-    unanswered = unanswered(now);
-    countedAt = now;
+  /** Counts a request as ended, however it ended. */
+  public void attemptEnded(long nowMicros) {
+    unansweredMicros = unansweredMicros(nowMicros);
+    unansweredCountedAtMicros = nowMicros;
     inFlight--;
   }
 
-  long quietSince() {
-    return quietSince;
+  int inFlight() {
+    return inFlight;
   }
 
-  private double unanswered(long now) {
-    return unanswered + (double) inFlight * (now - countedAt);
+  int maxInFlight() {
+    return slots() * REQUESTS_PER_SLOT;
+  }
+
+  /** Returns when the worker last answered, or when it got its first request since it was idle. */
+  long lastResponseAtMicros() {
+    return lastResponseAtMicros;
+  }
+
+  private double unansweredMicros(long nowMicros) {
+    return unansweredMicros + (double) inFlight * (nowMicros - unansweredCountedAtMicros);
+  }
+
+  /** Returns whether the worker is avoided after a failure or a rejection. */
+  boolean avoided(long nowMicros) {
+    return avoidUntilMicros > nowMicros;
   }
 
   /**
-   * Whether it has had so much work for so long without giving any answer that others are better
-   * tried first. How much that is follows from how long the service usually takes: one request that
-   * is late says little, several say more.
+   * Returns whether the worker has had so much work for so long without any response that others
+   * are tried first. The limit follows from the average response time of the service: one late
+   * request says little, several say more.
    */
-  boolean suspect(long now) {
+  boolean unresponsive(long nowMicros) {
     return inFlight > 0
-        && now - quietSince > SUSPECT_LEAST
-        && unanswered(now) > SUSPECT_WORK * pace.usual();
+        && nowMicros - lastResponseAtMicros > MIN_UNRESPONSIVE_MICROS
+        && unansweredMicros(nowMicros) > UNRESPONSIVE_WORK * latency.meanMicros();
+  }
+
+  boolean inSlowStart(long nowMicros) {
+    return instance.warmUntil() > nowMicros;
+  }
+
+  /** Sets the weight in the selection; below 1 while the worker is ejected as an outlier. */
+  void setWeight(double newWeight) {
+    weight = newWeight;
+  }
+
+  /** Returns the requests in flight over the weight that outlier detection has set. */
+  double weightedInFlight() {
+    return inFlight / weight;
+  }
+
+  /**
+   * Returns the load to compare: 0 for an idle worker of full weight, more for an idle lighter one.
+   */
+  double load(long nowMicros) {
+    double effectiveWeight = inSlowStart(nowMicros) ? weight * SLOW_START_WEIGHT : weight;
+    return inFlight / effectiveWeight + (1 / effectiveWeight - 1);
   }
 }
--- a/src/main/java/org/otterpond/proxy/ZoneShares.java
+++ b/src/main/java/org/otterpond/proxy/ZoneShares.java
@@ -3,24 +3,32 @@
 import java.util.Map;
 
 /**
- * Where the nodes of the fleet stand: how many in each zone, and this one's place among those of
- * its own.
+ * How the nodes of the fleet are spread over zones.
+ *
+ * @param zone the zone of this node
+ * @param nodesByZone the number of nodes in each zone
+ * @param rank the position of this node among those of its zone, from 0
  */
-record ZoneShares(String zone, Map<String, Integer> nodesInZone, int rank) {
-  static ZoneShares alone(String zone) {
+record ZoneShares(String zone, Map<String, Integer> nodesByZone, int rank) {
+  /** Returns the shares of a node that knows of no other. */
+  static ZoneShares singleNode(String zone) {
     return new ZoneShares(zone, Map.of(zone, 1), 0);
   }
 
-  int nodes() {
-    return Math.max(1, nodesInZone.values().stream().mapToInt(Integer::intValue).sum());
+  private int nodes() {
+    int sum = 0;
+    for (int inZone : nodesByZone.values()) {
+      sum += inZone;
+    }
+    return Math.max(1, sum);
   }
 
-  int nodesHere() {
-    return Math.max(1, nodesInZone.getOrDefault(zone, 1));
+  int nodesInOwnZone() {
+    return Math.max(1, nodesByZone.getOrDefault(zone, 1));
   }
 
-  /** The part of all nodes that stands in a zone. */
-  double share(String of) {
-    return nodesInZone.getOrDefault(of, 0) / (double) nodes();
+  /** Returns the fraction of all nodes that is in a zone. */
+  double share(String ofZone) {
+    return nodesByZone.getOrDefault(ofZone, 0) / (double) nodes();
   }
 }
--- a/src/main/java/org/otterpond/server/MetricsPage.java
+++ b/src/main/java/org/otterpond/server/MetricsPage.java
@@ -40,25 +40,29 @@
   private PrometheusMeterRegistry fill(PrometheusMeterRegistry r) {
     count(r, "otterpond.requests", "Requests received", tally.requests);
     count(r, "otterpond.requests.unrouted", "Requests with no route", tally.unrouted);
-    count(r, "otterpond.attempts", "Requests sent to a worker", tally.forwarded);
+    count(r, "otterpond.attempts", "Requests sent to a worker", tally.attempts);
     count(r, "otterpond.attempts.retried", "Attempts after the first", tally.retries);
     count(r, "otterpond.attempts.hedged", "Attempts made beside one still open", tally.hedges);
-    count(r, "otterpond.attempts.turned_away", "Attempts that a worker disowned", tally.turnedAway);
-    count(r, "otterpond.attempts.failed", "Attempts without a whole answer", tally.failures);
-    count(r, "otterpond.answers", "Answers of workers passed on", tally.answered);
-    count(r, "otterpond.refusals", "Requests refused unrun", tally.refused);
+    count(
+        r,
+        "otterpond.attempts.turned_away",
+        "Attempts that a worker disowned",
+        tally.rejectedByWorker);
+    count(r, "otterpond.attempts.failed", "Attempts without a whole answer", tally.failedAttempts);
+    count(r, "otterpond.answers", "Answers of workers passed on", tally.responses);
+    count(r, "otterpond.refusals", "Requests refused unrun", tally.rejected);
     count(r, "otterpond.timeouts", "Requests that reached their deadline", tally.timeouts);
     count(r, "otterpond.replays", "Repeats answered from the ledger", tally.replays);
     count(
         r,
         "otterpond.requests.unauthorised",
         "Requests without a key that a tenant holds",
-        tally.unauthorised);
+        tally.unauthorized);
     count(
         r,
         "otterpond.requests.stale",
         "Requests refused as keys may have been withdrawn unheard",
-        tally.stale);
+        tally.staleAccessKeys);
     count(
         r,
         "otterpond.requests.over_quota",
@@ -70,7 +74,7 @@
             n -> (EventLoop.now() - n.freshAt()) / 1e6)
         .baseUnit("seconds")
         .register(r);
-    Gauge.builder("otterpond.requests.open", proxy, ProxyHandler::open).register(r);
+    Gauge.builder("otterpond.requests.open", proxy, ProxyHandler::inFlight).register(r);
     Gauge.builder("otterpond.configuration.revision", node, n -> n.revision()).register(r);
     Gauge.builder("otterpond.epoch", node, n -> n.known() == null ? 0 : n.known().epoch())
         .register(r);
--- a/src/main/java/org/otterpond/server/NodeServer.java
+++ b/src/main/java/org/otterpond/server/NodeServer.java
@@ -14,6 +14,7 @@
 import org.otterpond.control.state.FaultTolerance;
 import org.otterpond.keyrange.KeyRangeLeaseSettings;
 import org.otterpond.messaging.MessageDispatcher;
+import org.otterpond.messaging.MessageIngestHandler;
 import org.otterpond.net.EventLoop;
 import org.otterpond.net.GatewayResponses;
 import org.otterpond.net.HttpListener;
@@ -118,7 +119,8 @@
                     terms()),
             life,
             tally);
-    ControlPlaneAgent node = proxy.node();
+    ControlPlaneAgent node = proxy.agent();
+    proxy.setMessageRequestHandler(new MessageIngestHandler(eventLoop, node, life, tally));
     PeerTransport links =
         new PeerTransport(eventLoop, settings.internalAddress(), node::onMessage, node::peerLost);
     runtime.fit(
@@ -303,8 +305,8 @@
             eventLoop.after(STORE_CHECK, () -> checkHandedOver(most));
             return;
           }
-          proxy.leave();
-          proxy.node().retire();
+          proxy.startDraining();
+          proxy.agent().retire();
           long last = settings.graceMicros() - LEAVE_MARGIN - LEAVE_FLUSH;
           long by = EventLoop.now() + last;
           eventLoop.after(Math.max(0, last - LEAVE_LAST), proxy::close);
@@ -325,10 +327,10 @@
 
   private void checkLeft(long by) {
     boolean late = EventLoop.now() >= by;
-    boolean busy = proxy.open() > 0 || (front != null && front.busy());
+    boolean busy = proxy.inFlight() > 0 || (front != null && front.busy());
     // The core may still count on what is held here: this node ends once the newest epoch does
     // without it.
-    boolean needed = proxy.node().needed();
+    boolean needed = proxy.agent().needed();
     if (!late && (busy || needed)) {
       eventLoop.after(50_000, () -> checkLeft(by));
       return;
--- a/src/test/java/org/otterpond/architecture/PackageDependenciesTest.java
+++ b/src/test/java/org/otterpond/architecture/PackageDependenciesTest.java
@@ -8,8 +8,6 @@
 import com.tngtech.archunit.library.Architectures.LayeredArchitecture;
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import org.otterpond.messaging.MessageIngestHandler;
-import org.otterpond.proxy.ProxyHandler;
 
 /** Holds the direction of the dependencies between packages: each may use only those below it. */
 class PackageDependenciesTest {
@@ -57,11 +55,6 @@
               ? layers.whereLayer(BOTTOM_UP.get(i)).mayNotAccessAnyLayer()
               : layers.whereLayer(BOTTOM_UP.get(i)).mayOnlyAccessLayers(below);
     }
-    layers
-        .ensureAllClassesAreContainedInArchitecture()
-        // The request handler hands message requests over by type; it goes once the handler of a
-        // route is an interface of the proxy package.
-        .ignoreDependency(ProxyHandler.class, MessageIngestHandler.class)
-        .check(classes);
+    layers.ensureAllClassesAreContainedInArchitecture().check(classes);
   }
 }
--- /dev/null
+++ b/src/test/java/org/otterpond/net/ServerExchanges.java
@@ -0,0 +1,11 @@
+package org.otterpond.net;
+
+/** Makes server exchanges without a connection, for tests that never answer them. */
+public final class ServerExchanges {
+  private ServerExchanges() {}
+
+  /** Returns an exchange whose request arrived at the given time. */
+  public static ServerExchange receivedAt(HttpMessage request, long micros) {
+    return new ServerExchange(request, micros, null);
+  }
+}
--- a/src/test/java/org/otterpond/proxy/WorkerClientTest.java
+++ b/src/test/java/org/otterpond/proxy/WorkerClientTest.java
@@ -15,78 +15,88 @@
 import org.otterpond.keyrange.KeyRangeRuntime;
 import org.otterpond.net.EventLoop;
 
-/** The keeper's calls to workers, over real sockets. */
+/** Calls of the key range manager to workers, over real sockets. */
 class WorkerClientTest {
+  private static final byte[] LOOPBACK = {127, 0, 0, 1};
   private static final String OK = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
 
+  private static void startDaemon(Runnable task) {
+    Thread thread = new Thread(task);
+    thread.setDaemon(true);
+    thread.start();
+  }
+
   private static void serve(ServerSocket server) {
-    Thread t =
-        new Thread(
-            () -> {
-              try {
-                while (true) {
-                  Socket s = server.accept();
-                  Thread c = new Thread(() -> answer(s));
-                  c.setDaemon(true);
-                  c.start();
-                }
-              } catch (IOException e) {
-                // The test is over.
-              }
-            });
-    t.setDaemon(true);
-    t.start();
+    try {
+      while (true) {
+        Socket connection = server.accept();
+        startDaemon(() -> answer(connection));
+      }
+    } catch (IOException e) {
+      // The test is over.
+    }
   }
 
   /**
-   * A worker that stutters: on a connection used before, the answer before comes once more in place
-   * of the right one.
+   * A faulty worker: on a connection used before, it repeats its previous answer in place of the
+   * right one.
    */
-  private static void answer(Socket s) {
-    try (s;
+  private static void answer(Socket connection) {
+    try (connection;
         BufferedReader in =
             new BufferedReader(
-                new InputStreamReader(s.getInputStream(), StandardCharsets.ISO_8859_1))) {
-      String before = null;
+                new InputStreamReader(connection.getInputStream(), StandardCharsets.ISO_8859_1))) {
+      String previous = null;
       for (String line = in.readLine(); line != null; line = in.readLine()) {
         boolean release = line.startsWith("POST /-/release");
         if (!release && !line.startsWith("POST /-/grant")) {
           continue;
         }
-        while (!in.readLine().isEmpty()) {
-          continue;
-        }
+        skipHeaders(in);
         in.skip(2);
-        String mine =
+        String own =
             release ? OK.replace("Content", "X-Otterpond-Lease-Transfer: released\r\nContent") : OK;
-        s.getOutputStream()
-            .write((before == null ? mine : before).getBytes(StandardCharsets.ISO_8859_1));
-        before = mine;
+        connection
+            .getOutputStream()
+            .write((previous == null ? own : previous).getBytes(StandardCharsets.ISO_8859_1));
+        previous = own;
       }
     } catch (IOException e) {
-      // The node hung up.
+      // The node closed the connection.
     }
   }
 
+  private static void skipHeaders(BufferedReader in) throws IOException {
+    String line = in.readLine();
+    while (!line.isEmpty()) {
+      line = in.readLine();
+    }
+  }
+
+  private static WorkerClient.Call call(String address, String path) {
+    return new WorkerClient.Call(address, "i-1", path, "{}", 2_000_000);
+  }
+
   @Test
-  void answerToAnEarlierGrantIsNoRelease() throws Exception {
+  void givenAnsweredGrants_whenReleaseIsSent_thenNoEarlierAnswerIsTakenForItsOwn()
+      throws Exception {
     EventLoop eventLoop = new EventLoop();
-    Thread owner = new Thread(eventLoop, "owner");
-    owner.setDaemon(true);
-    owner.start();
-    LinkedBlockingQueue<KeyRangeRuntime.Answer> told = new LinkedBlockingQueue<>();
-    try (ServerSocket server = new ServerSocket(0, 50, InetAddress.getByName("127.0.0.1"))) {
-      serve(server);
-      String at = "127.0.0.1:" + server.getLocalPort();
-      WorkerClient calls = new WorkerClient(eventLoop);
+    startDaemon(eventLoop);
+    LinkedBlockingQueue<KeyRangeRuntime.Answer> answers = new LinkedBlockingQueue<>();
+    try (ServerSocket server = new ServerSocket(0, 50, InetAddress.getByAddress(LOOPBACK))) {
+      startDaemon(() -> serve(server));
+      String address = "127.0.0.1:" + server.getLocalPort();
+      WorkerClient client = new WorkerClient(eventLoop);
       for (int i = 0; i < 2; i++) {
-        eventLoop.execute(() -> calls.call(at, "i-1", "/-/grant", "{}", 2_000_000, told::add));
-        assertEquals(200, told.poll(5, TimeUnit.SECONDS).status());
+        eventLoop.execute(() -> client.call(call(address, "/-/grant"), answers::add));
+        assertEquals(200, answers.poll(5, TimeUnit.SECONDS).status());
       }
-      eventLoop.execute(() -> calls.call(at, "i-1", "/-/release", "{}", 2_000_000, told::add));
-      KeyRangeRuntime.Answer a = told.poll(5, TimeUnit.SECONDS);
-      assertEquals(200, a.status());
-      assertEquals("released", a.token());
+
+      eventLoop.execute(() -> client.call(call(address, "/-/release"), answers::add));
+
+      KeyRangeRuntime.Answer answer = answers.poll(5, TimeUnit.SECONDS);
+      assertEquals(200, answer.status());
+      assertEquals("released", answer.token());
     } finally {
       eventLoop.stop();
     }
--- a/src/test/java/org/otterpond/proxy/WorkerEndpointTest.java
+++ b/src/test/java/org/otterpond/proxy/WorkerEndpointTest.java
@@ -7,51 +7,58 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * When a worker that answers nothing is tried last: that follows from how long its service usually
- * takes.
+ * When a worker that answers nothing counts as unresponsive: that follows from the average response
+ * time of its service.
  */
 class WorkerEndpointTest {
-  private static final long MS = 1_000;
+  private static final long MILLI = 1_000;
 
-  private static LatencyAverage paceOf(long micros) {
-    LatencyAverage p = new LatencyAverage();
+  private static LatencyAverage averageOf(long micros) {
+    LatencyAverage average = new LatencyAverage();
     for (int i = 0; i < 100; i++) {
-      p.answered(micros);
+      average.add(micros);
     }
-    return p;
+    return average;
+  }
+
+  private static WorkerEndpoint endpoint(long latencyMicros) {
+    return new WorkerEndpoint(null, null, averageOf(latencyMicros));
   }
 
   @Test
-  void oneLongRequestOfASlowServiceIsNoSuspicion() {
-    WorkerEndpoint h = new WorkerEndpoint(null, null, paceOf(600 * MS));
-    h.took(0);
-    assertFalse(h.suspect(2_000 * MS));
-    assertTrue(h.suspect(2_500 * MS));
-    WorkerEndpoint quick = new WorkerEndpoint(null, null, paceOf(20 * MS));
-    quick.took(0);
-    assertFalse(quick.suspect(300 * MS));
-    assertTrue(quick.suspect(400 * MS));
+  void givenOneLongRequest_whenTheServiceIsSlow_thenTheWorkerIsNotUnresponsiveAsSoon() {
+    WorkerEndpoint slow = endpoint(600 * MILLI);
+    slow.attemptStarted(0);
+    assertFalse(slow.unresponsive(2_000 * MILLI));
+    assertTrue(slow.unresponsive(2_500 * MILLI));
+
+    WorkerEndpoint quick = endpoint(20 * MILLI);
+    quick.attemptStarted(0);
+    assertFalse(quick.unresponsive(300 * MILLI));
+    assertTrue(quick.unresponsive(400 * MILLI));
   }
 
   @Test
-  void severalUnansweredRequestsSayMoreThanOne() {
-    WorkerEndpoint h = new WorkerEndpoint(null, null, paceOf(600 * MS));
+  void givenSeveralUnansweredRequests_whenCompared_thenTheySayMoreThanOne() {
+    WorkerEndpoint endpoint = endpoint(600 * MILLI);
     for (int i = 0; i < 5; i++) {
-      h.took(0);
+      endpoint.attemptStarted(0);
     }
-    assertFalse(h.suspect(400 * MS));
-    assertTrue(h.suspect(500 * MS));
-    h.released(500 * MS);
-    h.worked(500 * MS);
-    assertFalse(h.suspect(900 * MS), "it has just answered");
+    assertFalse(endpoint.unresponsive(400 * MILLI));
+    assertTrue(endpoint.unresponsive(500 * MILLI));
+
+    endpoint.attemptEnded(500 * MILLI);
+    endpoint.requestExecuted(500 * MILLI);
+
+    assertFalse(endpoint.unresponsive(900 * MILLI), "it has just answered");
   }
 
   @Test
-  void aFewSlowAnswersDoNotPassForTheUsual() {
-    LatencyAverage p = paceOf(100 * MS);
+  void givenFewSlowResponses_whenAveraged_thenTheAverageStaysNearTheUsual() {
+    LatencyAverage average = averageOf(100 * MILLI);
     for (int i = 0; i < 64; i++) {
-      p.answered(i % 5 == 0 ? 2_000 * MS : 100 * MS);
+      average.add(i % 5 == 0 ? 2_000 * MILLI : 100 * MILLI);
     }
-    assertEquals(125 * MS, p.usual(), 40 * MS);
+    assertEquals(125 * MILLI, average.meanMicros(), 40 * MILLI);
   }
 }
