--- a/src/main/java/org/otterpond/simulation/ConcurrentOperators.java
+++ b/src/main/java/org/otterpond/simulation/ConcurrentOperators.java
@@ -4,102 +4,117 @@
 import java.util.List;
 import java.util.Random;
 
-/** Operators who change the configuration at once, on one base, and others who read it. */
+/**
+ * Operators that write the configuration concurrently, on one base revision, and others that read
+ * it.
+ */
 final class ConcurrentOperators {
-  private static final int MOST_AT_ONCE = 8;
-  private static final int MOST_TRIES = 6;
-  private static final int WIDE = 90_000;
+  private static final int MAX_CONCURRENT_WRITES = 8;
+  private static final int MAX_ATTEMPTS = 6;
+  private static final int PADDING_CHARS = 90_000;
+  private static final int RADIX = 36;
 
-  private final SimulatedCluster fleet;
+  private final SimulatedCluster cluster;
   private final SimulatedWorld world;
-  private final OperatorClient calls;
+  private final OperatorClient client;
   private final Random random;
-  private final boolean storm;
-  private boolean going = true;
-  private int number;
+  private final boolean writeStorm;
+  private boolean running = true;
+  private int lastMarker;
 
-  ConcurrentOperators(SimulatedCluster fleet, OperatorClient calls, Random random, boolean storm) {
-    this.fleet = fleet;
-    this.world = fleet.world;
-    this.calls = calls;
+  /**
+   * Creates the operators, which do nothing yet.
+   *
+   * @param writeStorm whether writes follow each other in quick succession
+   */
+  ConcurrentOperators(
+      SimulatedCluster cluster, OperatorClient client, Random random, boolean writeStorm) {
+    this.cluster = cluster;
+    this.world = cluster.world;
+    this.client = client;
     this.random = random;
-    this.storm = storm;
-    calls.onConfirmed =
-        () -> {
-          // Somebody who has waited for it goes on at once.
-          if (going && random.nextInt(4) == 0) {
-            world.at(random.nextInt(10_000), this::race);
-          }
-        };
+    this.writeStorm = writeStorm;
+    client.onConfirmed = this::confirmed;
   }
 
   void start() {
-    world.at(0, this::next);
-    world.at(0, this::reads);
+    world.schedule(0, this::writeRepeatedly);
+    world.schedule(0, this::readRepeatedly);
   }
 
   void stop() {
-    going = false;
+    running = false;
   }
 
-  private void next() {
-    if (!going) {
+  /** At times another operator has waited for the confirmed write and sends its own at once. */
+  private void confirmed() {
+    if (running && random.nextInt(4) == 0) {
+      world.schedule(random.nextInt(10_000), this::writeConcurrently);
+    }
+  }
+
+  private void writeRepeatedly() {
+    if (!running) {
       return;
     }
-    race();
-    long pause = storm ? 20_000 + random.nextInt(120_000) : 60_000 + random.nextInt(700_000);
-    world.at(pause, this::next);
+    writeConcurrently();
+    long pauseMicros =
+        writeStorm ? 20_000 + random.nextInt(120_000) : 60_000 + random.nextInt(700_000);
+    world.schedule(pauseMicros, this::writeRepeatedly);
   }
 
-  private void reads() {
-    if (going) {
-      calls.read();
-      world.at(20_000 + random.nextInt(200_000), this::reads);
+  private void readRepeatedly() {
+    if (running) {
+      client.read();
+      world.schedule(20_000 + random.nextInt(200_000), this::readRepeatedly);
     }
   }
 
-  private void race() {
-    long base = calls.seen();
+  /** Sends several writes on one base, some of them the same write from two operators. */
+  private void writeConcurrently() {
+    long base = client.newestSeen();
     if (base > 0 && random.nextInt(12) == 0) {
-      // Somebody who has not looked for a while.
+      // An operator that has not read the configuration for a while.
       base -= random.nextInt((int) Math.min(base, 4));
     }
-    int count = storm && random.nextInt(4) > 0 ? 1 : 2 + random.nextInt(MOST_AT_ONCE - 1);
+    int count =
+        writeStorm && random.nextInt(4) > 0 ? 1 : 2 + random.nextInt(MAX_CONCURRENT_WRITES - 1);
     long revision = base + 1 + random.nextInt(3);
-    List<ConfigurationWrite> orders = new ArrayList<>();
+    List<ConfigurationWrite> writes = new ArrayList<>();
     for (int i = 0; i < count; i++) {
-      orders.add(
-          i > 0 && random.nextInt(3) == 0 ? orders.get(random.nextInt(i)) : order(base, revision));
+      writes.add(
+          i > 0 && random.nextInt(3) == 0
+              ? writes.get(random.nextInt(i))
+              : randomWrite(base, revision));
     }
-    boolean apart = random.nextInt(4) == 0;
-    for (ConfigurationWrite o : orders) {
-      world.at(random.nextInt(apart ? 1_500_000 : 30_000), () -> calls.send(o, MOST_TRIES));
+    int spreadMicros = random.nextInt(4) == 0 ? 1_500_000 : 30_000;
+    for (ConfigurationWrite write : writes) {
+      world.schedule(random.nextInt(spreadMicros), () -> client.send(write, MAX_ATTEMPTS));
     }
   }
 
-  /** Mostly under the one number; a change only where there is something to change. */
-  private ConfigurationWrite order(long base, long revision) {
-    long own = random.nextInt(4) == 0 ? revision + 1 + random.nextInt(2) : revision;
-    String marker = "o" + ++number;
-    fleet.checker.sent(own);
+  /** A write that mostly has this revision; it modifies only where there is a configuration. */
+  private ConfigurationWrite randomWrite(long base, long revision) {
+    long ownRevision = random.nextInt(4) == 0 ? revision + 1 + random.nextInt(2) : revision;
+    String marker = "o" + ++lastMarker;
+    cluster.checker.writeSent(ownRevision);
     return base > 0 && random.nextInt(2) == 0
-        ? ConfigurationWrite.modify(base, own, marker)
-        : ConfigurationWrite.replace(base, own, marker, random.nextInt(10) == 0 ? padding() : "");
+        ? ConfigurationWrite.modify(base, ownRevision, marker)
+        : ConfigurationWrite.replace(
+            base, ownRevision, marker, random.nextInt(10) == 0 ? padding() : "");
   }
 
-  /** Does not pack well, so a large change is large on the links as well. */
+  /** Random text that hardly compresses, so that the write is large on the network as well. */
   private String padding() {
-    StringBuilder out = new StringBuilder();
-    while (out.length() < WIDE) {
-      out.append(Long.toString(random.nextLong() >>> 1, 36));
+    StringBuilder text = new StringBuilder();
+    while (text.length() < PADDING_CHARS) {
+      text.append(Long.toString(random.nextLong() >>> 1, RADIX));
     }
-    return out.toString();
+    return text.toString();
   }
 
-  /** One order alone on the newest revision that was seen. */
-  ConfigurationWrite alone() {
-    ConfigurationWrite o = order(calls.seen(), calls.seen() + 1);
-    calls.send(o, MOST_TRIES);
-    return o;
+  /** Sends a single write on the newest revision that was seen. */
+  void writeAlone() {
+    client.send(randomWrite(client.newestSeen(), client.newestSeen() + 1), MAX_ATTEMPTS);
   }
 }
--- a/src/main/java/org/otterpond/simulation/ConfigurationWrite.java
+++ b/src/main/java/org/otterpond/simulation/ConfigurationWrite.java
@@ -4,45 +4,47 @@
 import java.util.List;
 
 /**
- * One operator's order: a configuration, or a change, on a base. However often and wherever it is
- * sent as it was, it is one operation.
+ * One write of an operator: a whole configuration, or a modification, on a base revision. However
+ * often and to whichever node it is sent unchanged, it is one write.
  *
- * @param marker the name of the subscriber by which the content shows that the order has taken
- *     effect
+ * @param modifies whether it modifies the configuration of its base, or else replaces it
+ * @param base the revision that must be current for the write to take effect
+ * @param revision the revision that the write creates
+ * @param marker the name of the tenant by which a content shows that the write has taken effect
+ * @param text the JSON text that is sent
  */
-record ConfigurationWrite(boolean modify, long base, long revision, String marker, String text) {
-  /** A whole configuration whose only subscriber is the marker. The padding makes it large. */
+record ConfigurationWrite(boolean modifies, long base, long revision, String marker, String text) {
+
+  /**
+   * A whole configuration whose only tenant is the marker.
+   *
+   * @param padding text that makes the configuration large, or the empty string
+   */
   static ConfigurationWrite replace(long base, long revision, String marker, String padding) {
-    return new ConfigurationWrite(
-        false,
-        base,
-        revision,
-        marker,
+    String text =
         "{\"revision\":"
             + revision
             + ",\"route_table\":[],"
             + "\"service_table\":["
             + service(padding)
             + "],\"subscribers\":["
-            + subscriber(marker)
-            + "]}");
+            + tenant(marker)
+            + "]}";
+    return new ConfigurationWrite(false, base, revision, marker, text);
   }
 
-  /** A change that adds the marker to the subscribers there are. */
+  /** A modification that adds the marker to the tenants of its base. */
   static ConfigurationWrite modify(long base, long revision, String marker) {
-    return new ConfigurationWrite(
-        true,
-        base,
-        revision,
-        marker,
+    String text =
         "{\"revision\":"
             + revision
             + ",\"upsert_items\":{\"subscribers\":["
-            + subscriber(marker)
-            + "]}}");
+            + tenant(marker)
+            + "]}}";
+    return new ConfigurationWrite(true, base, revision, marker, text);
   }
 
-  private static String subscriber(String marker) {
+  private static String tenant(String marker) {
     return "{\"name\":\"" + marker + "\"}";
   }
 
@@ -50,21 +52,19 @@
     return padding.isEmpty() ? "" : "{\"name\":\"wide\",\"health_path\":\"/" + padding + "\"}";
   }
 
+  /** The kind of the write as it is named in a request. */
   String kind() {
-    return modify ? "modify" : "replace";
+    return modifies ? "modify" : "replace";
   }
 
-  /**
-   * The markers that stand in the configuration after this order took effect on one that held
-   * these.
-   */
-  List<String> after(List<String> content) {
-    if (!modify) {
+  /** The markers in the configuration after this write took effect on one with these markers. */
+  List<String> contentAfter(List<String> content) {
+    if (!modifies) {
       return List.of(marker);
     }
-    List<String> out = new ArrayList<>(content);
-    out.add(marker);
-    return List.copyOf(out);
+    List<String> markers = new ArrayList<>(content);
+    markers.add(marker);
+    return List.copyOf(markers);
   }
 
   @Override
--- a/src/main/java/org/otterpond/simulation/Fault.java
+++ b/src/main/java/org/otterpond/simulation/Fault.java
@@ -1,39 +1,63 @@
 package org.otterpond.simulation;
 
+import com.google.gson.annotations.SerializedName;
 import java.util.Locale;
 
 /**
- * One entry of a schedule.
+ * One fault of a schedule. The serialized names are the form of a printed schedule line.
  *
- * @param atMillis from the beginning of the operations
- * @param forMillis until it ends, and the machine is well again or started
- * @param machine an address, or one of the words below, which are resolved at the fault's moment
- * @param chance what else is open in it is drawn from this number
+ * @param atMillis when it begins, counted from the start of the clients
+ * @param durationMillis how long it lasts until it is cleared or the process is started again
+ * @param target the address of a node, or one of the words below, which are resolved when the fault
+ *     begins
+ * @param seed the seed of the fault's own random choices
  */
-record Fault(Kind kind, long atMillis, long forMillis, String machine, long chance) {
+record Fault(
+    Kind kind,
+    long atMillis,
+    @SerializedName("forMillis") long durationMillis,
+    @SerializedName("machine") String target,
+    @SerializedName("chance") long seed) {
+  /** The target that means whichever node is the primary. */
   static final String PRIMARY = "primary";
+
+  /** The target that means some backup of the primary. */
   static final String BACKUP = "backup";
+
+  /** The target that means every node. */
   static final String ALL = "all";
 
+  /** What a fault does to its target. */
   enum Kind {
-    /** Cut off, from all or some others; what is sent is lost. */
+    /** Partitions the node from all or some others: messages are lost. */
     CUT,
-    /** Cut off; what is sent is held as by TCP. */
+    /** Interrupts the node's connections: messages are buffered, as by TCP. */
     HOLD,
-    /** Cut off in one direction. */
+    /** Partitions the node, or interrupts its connections, in one direction only. */
     ONE_WAY,
+    /** Stops the process without ending it. */
     FREEZE,
-    /** The process is killed, the machine runs on. */
+    /** Kills the process while its machine runs on. */
     KILL,
-    /** The machine loses power; with {@link #ALL} every machine does. */
+    /** Cuts the power of the machine; with {@link #ALL} of every machine. */
     POWER,
-    /** The machine loses power and its disk, and comes back with an empty one. */
+    /** Cuts the power of the machine and replaces its disk by an empty one. */
     WIPE,
-    /** The disk answers nothing, or refuses. */
+    /** Stalls the disk, or makes its writes fail. */
     DISK;
 
+    /**
+     * The kind of a name on the command line.
+     *
+     * @throws IllegalArgumentException if there is no such kind
+     */
     static Kind of(String name) {
       return valueOf(name.strip().toUpperCase(Locale.ROOT).replace('-', '_'));
     }
+
+    /** Whether faults of this kind impair the network and not the node itself. */
+    boolean isNetworkFault() {
+      return this == CUT || this == HOLD || this == ONE_WAY;
+    }
   }
 }
--- a/src/main/java/org/otterpond/simulation/FaultBudget.java
+++ b/src/main/java/org/otterpond/simulation/FaultBudget.java
@@ -3,30 +3,37 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** Which core machines count as lost: from a fault's beginning until a while after its end. */
+/**
+ * Limits how many machines are impaired at once. A machine counts from the beginning of its fault
+ * until it has had time to recover after the end.
+ */
 final class FaultBudget {
-  /** So long after its return a machine still counts as lost. */
-  private static final long SYNC = 4_000_000;
+  private static final long RECOVERY_MICROS = 4_000_000;
 
-  private final int most;
-  private final Map<String, Long> until = new HashMap<>();
+  private final int maxImpaired;
+  private final Map<String, Long> impairedUntilMicros = new HashMap<>();
 
-  FaultBudget(int most) {
-    this.most = most;
+  FaultBudget(int maxImpaired) {
+    this.maxImpaired = maxImpaired;
   }
 
-  /** Whether one more fault on that machine is within the bound; if it is, it is taken down. */
-  boolean take(String machine, long now, long length) {
-    until.values().removeIf(t -> t <= now);
-    if (!until.containsKey(machine) && until.size() >= most) {
+  /**
+   * Reserves a fault of a machine if that is within the budget.
+   *
+   * @return whether the fault may be injected
+   */
+  boolean tryReserve(String address, long nowMicros, long durationMicros) {
+    impairedUntilMicros.values().removeIf(untilMicros -> untilMicros <= nowMicros);
+    if (!impairedUntilMicros.containsKey(address) && impairedUntilMicros.size() >= maxImpaired) {
       return false;
     }
-    until.merge(machine, now + length + SYNC, Math::max);
+    impairedUntilMicros.merge(address, nowMicros + durationMicros + RECOVERY_MICROS, Math::max);
     return true;
   }
 
-  /** All machines were without power: those that count as lost have to be made up for anew. */
-  void allLostPower(long backAt) {
-    until.replaceAll((machine, t) -> Math.max(t, backAt + SYNC));
+  /** Restarts the recovery of the impaired machines after all machines were without power. */
+  void allLostPower(long restoredMicros) {
+    impairedUntilMicros.replaceAll(
+        (address, untilMicros) -> Math.max(untilMicros, restoredMicros + RECOVERY_MICROS));
   }
 }
--- a/src/main/java/org/otterpond/simulation/FaultInjector.java
+++ b/src/main/java/org/otterpond/simulation/FaultInjector.java
@@ -1,204 +1,215 @@
 package org.otterpond.simulation;
 
 import java.util.ArrayList;
-import java.util.HashMap;
 import java.util.HashSet;
 import java.util.List;
-import java.util.Map;
 import java.util.Random;
 import java.util.Set;
+import org.otterpond.control.state.CoreMember;
+import org.otterpond.simulation.SimulatedNetwork.Route;
 
 /**
- * Brings a schedule's faults about and ends each; one that would lose more machines at once than
- * allowed is left out.
+ * Injects the faults of a schedule and clears each when its time is up. A fault that would impair
+ * more machines at once than the budget allows is skipped.
  */
 final class FaultInjector {
-  private static final int ALL_POWER_BACK = 1_500_000;
+  private static final String LOG_SOURCE = "fault";
+  private static final long MICROS_PER_MILLI = 1000;
+  private static final long MIN_POWER_LOSS_MICROS = 100_000;
+  private static final int POWER_LOSS_SPREAD_MICROS = 1_500_000;
 
-  private final SimulatedCluster fleet;
+  private final SimulatedCluster cluster;
   private final SimulatedWorld world;
-  private final FaultBudget losses;
+  private final LinkFaults linkFaults;
+  private final FaultBudget coreBudget;
 
-  /** Of machines without a disk; the same if they have no bound of their own. */
-  private final FaultBudget edgeLosses;
+  /** The budget of nodes without a disk: the same as of the core if they have none of their own. */
+  private final FaultBudget edgeBudget;
 
-  /** How many faults keep a way cut, or held. */
-  private final Map<String, Integer> cuts = new HashMap<>();
+  private int injected;
 
-  private final Map<String, Integer> holds = new HashMap<>();
-  private final List<Fault> played = new ArrayList<>();
-
-  FaultInjector(SimulatedCluster fleet, int faults, int edgeFaults) {
-    this.fleet = fleet;
-    this.world = fleet.world;
-    this.losses = new FaultBudget(faults);
-    this.edgeLosses = edgeFaults == 0 ? losses : new FaultBudget(edgeFaults);
+  /**
+   * Creates an injector.
+   *
+   * @param maxFailures how many machines may be impaired at once
+   * @param maxEdgeFailures how many nodes without a disk may be impaired beside them; 0 counts all
+   *     machines together
+   */
+  FaultInjector(SimulatedCluster cluster, int maxFailures, int maxEdgeFailures) {
+    this.cluster = cluster;
+    this.world = cluster.world;
+    this.linkFaults = new LinkFaults(world.network);
+    this.coreBudget = new FaultBudget(maxFailures);
+    this.edgeBudget = maxEdgeFailures == 0 ? coreBudget : new FaultBudget(maxEdgeFailures);
   }
 
-  void play(List<Fault> entries) {
-    entries.forEach(f -> world.at(f.atMillis() * 1000, () -> begin(f)));
+  /** Schedules all faults, counted from now. */
+  void start(List<Fault> faults) {
+    for (Fault fault : faults) {
+      world.schedule(fault.atMillis() * MICROS_PER_MILLI, () -> begin(fault));
+    }
   }
 
-  /** Those that were not left out. */
-  List<Fault> played() {
-    return played;
+  /** How many faults were injected, and so not skipped. */
+  int injected() {
+    return injected;
   }
 
-  private void begin(Fault f) {
-    Random chance = new Random(f.chance());
-    if (f.machine().equals(Fault.ALL)) {
-      played.add(f);
-      world.event("fault", "event=fault kind=" + f.kind() + " machine=all");
-      allLosePower(chance);
+  private void begin(Fault fault) {
+    Random random = new Random(fault.seed());
+    if (fault.target().equals(Fault.ALL)) {
+      injected++;
+      log("event=fault_injected kind=" + fault.kind() + " node=all");
+      cutAllPower(random);
       return;
     }
-    SimulatedNode machine = machine(f, chance);
-    if (machine == null || !take(machine, f)) {
+    SimulatedNode node = resolveTarget(fault.target(), random);
+    if (node == null || !tryReserve(node, fault)) {
       return;
     }
-    played.add(f);
-    world.event(
-        "fault",
-        "event=fault kind="
-            + f.kind()
-            + " machine="
-            + machine.address
-            + " for_ms="
-            + f.forMillis());
-    Runnable end = strike(f, machine, chance);
-    world.at(
-        f.forMillis() * 1000,
+    injected++;
+    log(
+        "event=fault_injected kind="
+            + fault.kind()
+            + " node="
+            + node.address
+            + " duration_ms="
+            + fault.durationMillis());
+    Runnable clear = inject(fault, node, random);
+    world.schedule(
+        fault.durationMillis() * MICROS_PER_MILLI,
         () -> {
-          world.event(
-              "fault", "event=fault_ended kind=" + f.kind() + " machine=" + machine.address);
-          end.run();
+          log("event=fault_cleared kind=" + fault.kind() + " node=" + node.address);
+          clear.run();
         });
   }
 
-  private boolean take(SimulatedNode machine, Fault f) {
-    return (machine.disk != null ? losses : edgeLosses)
-        .take(machine.address, world.now(), f.forMillis() * 1000);
+  private void log(String line) {
+    world.logEvent(LOG_SOURCE, line);
+  }
+
+  private boolean tryReserve(SimulatedNode node, Fault fault) {
+    FaultBudget budget = node.disk != null ? coreBudget : edgeBudget;
+    return budget.tryReserve(node.address, world.now(), fault.durationMillis() * MICROS_PER_MILLI);
   }
 
-  private SimulatedNode machine(Fault f, Random chance) {
-    SimulatedNode primary = fleet.leader();
-    if (f.machine().equals(Fault.PRIMARY)) {
-      return primary != null ? primary : fleet.disks.get(chance.nextInt(fleet.disks.size()));
+  private SimulatedNode resolveTarget(String target, Random random) {
+    SimulatedNode primary = cluster.primary();
+    if (target.equals(Fault.PRIMARY)) {
+      return primary != null ? primary : randomCoreNode(random);
     }
-    if (f.machine().equals(Fault.BACKUP)) {
-      if (primary == null || primary.node.known().backups().isEmpty()) {
-        return fleet.disks.get(chance.nextInt(fleet.disks.size()));
+    if (target.equals(Fault.BACKUP)) {
+      if (primary == null || primary.agent.known().backups().isEmpty()) {
+        return randomCoreNode(random);
       }
-      var backups = primary.node.known().backups();
-      return world.nodes.get(backups.get(chance.nextInt(backups.size())).address());
+      List<CoreMember> backups = primary.agent.known().backups();
+      return cluster.node(backups.get(random.nextInt(backups.size())).address());
     }
-    return world.nodes.get(f.machine());
+    return cluster.node(target);
+  }
+
+  private SimulatedNode randomCoreNode(Random random) {
+    return cluster.coreNodes.get(random.nextInt(cluster.coreNodes.size()));
   }
 
-  /** Begins the fault; what is given back ends it. */
-  private Runnable strike(Fault f, SimulatedNode m, Random chance) {
-    switch (f.kind()) {
+  /** Injects the fault and returns the task that clears it. */
+  private Runnable inject(Fault fault, SimulatedNode node, Random random) {
+    return switch (fault.kind()) {
       case KILL -> {
-        m.kill();
-        world.processEnded(m.address);
+        node.kill();
+        world.network.closeConnections(node.address);
+        yield node::start;
+      }
+      case POWER -> {
+        node.losePower();
+        yield node::start;
       }
-      case POWER -> m.losePower();
       case WIPE -> {
-        m.losePower();
-        if (m.disk != null) {
-          m.disk.wipe();
+        node.losePower();
+        if (node.disk != null) {
+          node.disk.wipe();
         }
+        yield node::start;
       }
       case FREEZE -> {
-        m.freeze();
-        boolean socketsFirst = chance.nextBoolean();
-        return () -> m.thaw(socketsFirst, chance);
-      }
-      case DISK -> {
-        return disk(m.disk, chance);
+        node.freeze();
+        boolean socketsFirst = random.nextBoolean();
+        yield () -> node.resume(socketsFirst, random);
       }
-      default -> {
-        return cut(f, m, chance);
-      }
-    }
-    return m::start;
+      case DISK -> impairDisk(node.disk, random);
+      case CUT, HOLD, ONE_WAY -> impairNetwork(fault, node, random);
+    };
   }
 
-  private static Runnable disk(SimulatedDisk disk, Random chance) {
+  private static Runnable impairDisk(SimulatedDisk disk, Random random) {
     if (disk == null) {
       return () -> {};
     }
-    if (chance.nextBoolean()) {
+    if (random.nextBoolean()) {
       disk.stalled = true;
     } else {
-      disk.refusing = true;
+      disk.failsWrites = true;
     }
     return () -> {
       disk.stalled = false;
-      disk.refusing = false;
+      disk.failsWrites = false;
     };
   }
 
-  private void allLosePower(Random chance) {
-    losses.allLostPower(world.now() + 100_000 + ALL_POWER_BACK);
-    for (SimulatedNode n : fleet.all) {
-      n.losePower();
-      world.at(100_000 + chance.nextInt(ALL_POWER_BACK), n::start);
+  private void cutAllPower(Random random) {
+    coreBudget.allLostPower(world.now() + MIN_POWER_LOSS_MICROS + POWER_LOSS_SPREAD_MICROS);
+    for (SimulatedNode node : cluster.nodes) {
+      node.losePower();
+      world.schedule(MIN_POWER_LOSS_MICROS + random.nextInt(POWER_LOSS_SPREAD_MICROS), node::start);
     }
   }
 
   /**
-   * Parts the machine, with as many of those without a disk as may be lost too, from the others or,
-   * at times, from a few only.
+   * Separates the node from others. Mostly these are all nodes but some without a disk, which are
+   * on the node's side as far as the budget allows; at times only a few.
    */
-  private Runnable cut(Fault f, SimulatedNode m, Random chance) {
-    Set<String> side = new HashSet<>(Set.of(m.address));
-    boolean few = chance.nextInt(3) == 0;
+  private Runnable impairNetwork(Fault fault, SimulatedNode node, Random random) {
+    Set<String> side = new HashSet<>(Set.of(node.address));
     Set<String> others = new HashSet<>();
-    for (SimulatedNode n : fleet.all) {
-      if (n == m) {
+    boolean fromFewOnly = random.nextInt(3) == 0;
+    for (SimulatedNode other : cluster.nodes) {
+      if (other == node) {
         continue;
       }
-      if (!few && n.disk == null && chance.nextInt(3) == 0 && take(n, f)) {
-        side.add(n.address);
-      } else if (!few || chance.nextInt(3) > 0) {
-        others.add(n.address);
-      }
-    }
-    boolean outwards = chance.nextBoolean();
-    List<String[]> ways = new ArrayList<>();
-    for (SimulatedNode a : fleet.all) {
-      for (SimulatedNode b : fleet.all) {
-        boolean out = side.contains(a.address) && others.contains(b.address);
-        boolean in = others.contains(a.address) && side.contains(b.address);
-        if (f.kind() == Fault.Kind.ONE_WAY ? outwards ? out : in : out || in) {
-          ways.add(new String[] {a.address, b.address});
-        }
+      if (!fromFewOnly
+          && other.disk == null
+          && random.nextInt(3) == 0
+          && tryReserve(other, fault)) {
+        side.add(other.address);
+      } else if (!fromFewOnly || random.nextInt(3) > 0) {
+        others.add(other.address);
       }
     }
-    boolean holds =
-        f.kind() == Fault.Kind.HOLD || f.kind() == Fault.Kind.ONE_WAY && chance.nextBoolean();
-    ways.forEach(w -> close(w[0], w[1], holds));
-    return () -> ways.forEach(w -> open(w[0], w[1], holds, chance));
-  }
-
-  private void close(String from, String to, boolean hold) {
-    if ((hold ? holds : cuts).merge(from + ">" + to, 1, Integer::sum) == 1) {
-      if (hold) {
-        world.hold(from, to);
-      } else {
-        world.cutOneWay(from, to);
-      }
+    boolean outbound = random.nextBoolean();
+    boolean oneWay = fault.kind() == Fault.Kind.ONE_WAY;
+    List<Route> routes = routes(side, others, !oneWay || outbound, !oneWay || !outbound);
+    boolean buffers = fault.kind() == Fault.Kind.HOLD || (oneWay && random.nextBoolean());
+    if (buffers) {
+      linkFaults.interrupt(routes);
+      return () -> linkFaults.resume(routes, random);
     }
+    linkFaults.partition(routes);
+    return () -> linkFaults.heal(routes);
   }
 
-  private void open(String from, String to, boolean hold, Random chance) {
-    if ((hold ? holds : cuts).merge(from + ">" + to, -1, Integer::sum) == 0) {
-      if (hold) {
-        world.release(from, to, chance);
-      } else {
-        world.healOneWay(from, to);
+  /** The routes between two sides, outbound from the first and inbound to it. */
+  private List<Route> routes(
+      Set<String> side, Set<String> others, boolean outbound, boolean inbound) {
+    List<Route> routes = new ArrayList<>();
+    for (SimulatedNode from : cluster.nodes) {
+      for (SimulatedNode to : cluster.nodes) {
+        boolean out = side.contains(from.address) && others.contains(to.address);
+        boolean in = others.contains(from.address) && side.contains(to.address);
+        if ((out && outbound) || (in && inbound)) {
+          routes.add(new Route(from.address, to.address));
+        }
       }
     }
+    return routes;
   }
 }
--- a/src/main/java/org/otterpond/simulation/InvariantChecker.java
+++ b/src/main/java/org/otterpond/simulation/InvariantChecker.java
@@ -7,80 +7,106 @@
 import java.util.Map;
 import java.util.Set;
 
-/** Holds what was seen from outside against the rules; knows nothing of how the nodes work. */
+/**
+ * Checks what can be observed from outside a cluster against the guarantees of the control plane.
+ * It knows nothing of how the nodes work.
+ */
 final class InvariantChecker {
-  static final long WINDOW = 60_000_000;
+  /** How long the lock of an idempotency key is kept after its request was executed. */
+  static final long KEY_RETENTION_MICROS = 60_000_000;
+
+  private static final double MICROS_PER_SECOND = 1e6;
+
+  private record Execution(String token, long timeMicros) {}
 
   private final SimulatedWorld world;
-  final List<String> broken = new ArrayList<>();
-  private final Map<Long, String> leaderOf = new HashMap<>();
-  private final Map<Long, Long> forceOfLife = new HashMap<>();
-  private final Map<Long, Long> acknowledgedOn = new HashMap<>();
-  private final Set<Long> refused = new HashSet<>();
-  private final Set<Long> sent = new HashSet<>();
+
+  /** What contradicts a guarantee, each with its time in milliseconds. */
+  final List<String> violations = new ArrayList<>();
+
+  private final Map<Long, String> primaryByEpoch = new HashMap<>();
+  private final Map<Long, Long> activeRevisionByIncarnation = new HashMap<>();
+  private final Map<Long, Long> acknowledgedRevisionByBase = new HashMap<>();
+  private final Set<Long> rejectedRevisions = new HashSet<>();
+  private final Set<Long> sentRevisions = new HashSet<>();
   private long newestAcknowledged;
-  private final Map<String, Run> runs = new HashMap<>();
-  int grants;
-  int acknowledgements;
+  private final Map<String, Execution> executions = new HashMap<>();
 
-  private record Run(String token, long at) {}
+  /** When a configuration without the access key was acknowledged. */
+  private final Map<String, Long> accessKeyRemovedMicros = new HashMap<>();
 
-  /** When a version that lacks the access key was acknowledged. */
-  private final Map<String, Long> withdrawn = new HashMap<>();
+  private final List<Long> quotaRunMicros = new ArrayList<>();
 
-  private final List<Long> counted = new ArrayList<>();
-  int keyRuns;
+  /** How many locks of idempotency keys were granted. */
+  int keyGrants;
+
+  /** How many configuration writes were acknowledged. */
+  int acknowledgements;
+
+  /** How many requests were admitted under an access key. */
+  int accessKeyUses;
 
   InvariantChecker(SimulatedWorld world) {
     this.world = world;
   }
 
-  private void breach(String what) {
-    broken.add(world.now() / 1000 + " " + what);
+  private void addViolation(String description) {
+    violations.add(world.now() / 1000 + " " + description);
   }
 
-  void started(String node, long life) {
-    forceOfLife.put(life, 0L);
+  /** Records that a process starts; it has no active configuration. */
+  void processStarted(long incarnation) {
+    activeRevisionByIncarnation.put(incarnation, 0L);
   }
 
-  void leads(String node, long epoch) {
-    String other = leaderOf.putIfAbsent(epoch, node);
+  /** Records that a node takes itself for the primary: each epoch has one at most. */
+  void primaryObserved(String node, long epoch) {
+    String other = primaryByEpoch.putIfAbsent(epoch, node);
     if (other != null && !other.equals(node)) {
-      breach("two leaders in epoch " + epoch + ": " + other + " and " + node);
+      addViolation("two primaries in epoch " + epoch + ": " + other + " and " + node);
     }
   }
 
-  void inForce(String node, long life, long revision) {
-    long before = forceOfLife.getOrDefault(life, 0L);
+  /** Records that a revision becomes active: revisions only grow, and only sent ones are used. */
+  void configurationActivated(String node, long incarnation, long revision) {
+    long before = activeRevisionByIncarnation.getOrDefault(incarnation, 0L);
     if (revision <= before) {
-      breach(node + " went back from " + before + " to " + revision);
+      addViolation(node + " went back from " + before + " to " + revision);
     }
-    if (refused.contains(revision) || !sent.contains(revision)) {
-      breach(node + " serves " + revision + ", which was refused or never sent");
+    if (rejectedRevisions.contains(revision) || !sentRevisions.contains(revision)) {
+      addViolation(node + " serves " + revision + ", which was rejected or never sent");
     }
-    forceOfLife.put(life, revision);
+    activeRevisionByIncarnation.put(incarnation, revision);
   }
 
-  void sent(long revision) {
-    sent.add(revision);
+  /** Records that an operator sends a configuration. */
+  void writeSent(long revision) {
+    sentRevisions.add(revision);
   }
 
-  void acknowledged(long base, long revision) {
+  /** Records that a write is acknowledged: on each base revision at most one is. */
+  void writeAcknowledged(long base, long revision) {
     acknowledgements++;
-    Long other = acknowledgedOn.putIfAbsent(base, revision);
+    Long other = acknowledgedRevisionByBase.putIfAbsent(base, revision);
     if (other != null && other != revision) {
-      breach("two changes acknowledged on " + base + ": " + other + " and " + revision);
+      addViolation("two writes acknowledged on " + base + ": " + other + " and " + revision);
     }
     newestAcknowledged = Math.max(newestAcknowledged, revision);
   }
 
-  void refused(long revision) {
-    refused.add(revision);
+  /** Records that a write was rejected at the first attempt, so that it must never take effect. */
+  void writeRejected(long revision) {
+    rejectedRevisions.add(revision);
   }
 
-  void readBack(long askedAfter, long revision) {
-    if (revision < askedAfter) {
-      breach("read " + revision + " though " + askedAfter + " had been acknowledged");
+  /**
+   * Records what a read returns.
+   *
+   * @param acknowledgedBefore the newest revision that was acknowledged when the read was sent
+   */
+  void readReturned(long acknowledgedBefore, long revision) {
+    if (revision < acknowledgedBefore) {
+      addViolation("read " + revision + " after " + acknowledgedBefore + " was acknowledged");
     }
   }
 
@@ -88,74 +114,92 @@
     return newestAcknowledged;
   }
 
-  void ran(String key, String token) {
-    grants++;
-    Run before = runs.put(key, new Run(token, world.now()));
-    if (before != null && !before.token().equals(token) && world.now() - before.at() < WINDOW) {
-      breach("key " + key + " ran twice");
+  /** Records that a request with an idempotency key runs: each key runs once while it is kept. */
+  void keyGranted(String key, String token) {
+    keyGrants++;
+    Execution before = executions.put(key, new Execution(token, world.now()));
+    if (before != null
+        && !before.token().equals(token)
+        && world.now() - before.timeMicros() < KEY_RETENTION_MICROS) {
+      addViolation("key " + key + " ran twice");
     }
   }
 
-  void disowned(String key, String token) {
-    Run r = runs.get(key);
-    if (r != null && r.token().equals(token)) {
-      runs.remove(key);
+  /** Records that a request with an idempotency key was not executed after all. */
+  void keyReleased(String key, String token) {
+    Execution execution = executions.get(key);
+    if (execution != null && execution.token().equals(token)) {
+      executions.remove(key);
     }
   }
 
-  /** A configuration holds the access keys of its own revision and of the one that it builds on. */
-  void keysAcknowledged(long base, long revision) {
-    for (long old : acknowledgedOn.values()) {
+  /** The access key that the configuration of a revision adds. */
+  static String accessKeyOf(long revision) {
+    return "key-" + revision;
+  }
+
+  /**
+   * Records that a configuration is acknowledged that has the access keys of its own revision and
+   * of its base, and so removes all others.
+   */
+  void accessKeysReplaced(long base, long revision) {
+    for (long old : acknowledgedRevisionByBase.values()) {
       if (old != base && old != revision) {
-        withdrawn.putIfAbsent(keyOf(old), world.now());
+        accessKeyRemovedMicros.putIfAbsent(accessKeyOf(old), world.now());
       }
     }
   }
 
-  static String keyOf(long revision) {
-    return "key-" + revision;
-  }
-
-  /** A request under an access key runs that its client sent this moment. */
-  void keyRuns(String node, String key, long revokeMicros) {
-    keyRuns++;
-    Long gone = withdrawn.get(key);
-    if (gone != null && world.now() > gone + revokeMicros) {
-      breach(
+  /** Records that a node admits a request, sent at this moment, under an access key. */
+  void accessKeyUsed(String node, String key, long revocationDelayMicros) {
+    accessKeyUses++;
+    Long removedMicros = accessKeyRemovedMicros.get(key);
+    if (removedMicros != null && world.now() > removedMicros + revocationDelayMicros) {
+      addViolation(
           node
-              + " ran under "
+              + " admitted a request under "
               + key
               + " "
-              + (world.now() - gone) / 1000
-              + " ms after it was withdrawn");
+              + (world.now() - removedMicros) / 1000
+              + " ms after its removal");
     }
   }
 
-  /** A run that counts against the one quota. */
-  void countedRun() {
-    counted.add(world.now());
+  /** Records a request that counts against the quota of the tenant. */
+  void quotaRunCounted() {
+    quotaRunMicros.add(world.now());
+  }
+
+  int quotaRuns() {
+    return quotaRunMicros.size();
   }
 
-  int countedRuns() {
-    return counted.size();
+  /** What a tenant may run within any window of time. */
+  record QuotaBound(
+      double ratePerSecond, double burst, long windowMicros, double excess, double slack) {
+    private double maxRuns() {
+      double regular = ratePerSecond * windowMicros / MICROS_PER_SECOND + burst;
+      return regular * (1 + excess) + slack;
+    }
   }
 
-  /** Looks at every window that begins with a run. */
-  void checkQuota(double rate, double burst, long window, double excess, double slack) {
-    double most = (rate * window / 1e6 + burst) * (1 + excess) + slack;
-    int from = 0;
-    for (int to = 0; to < counted.size(); to++) {
-      while (counted.get(to) - counted.get(from) > window) {
-        from++;
+  /** Checks every window that begins with a run. */
+  void checkQuota(QuotaBound bound) {
+    double maxRuns = bound.maxRuns();
+    int first = 0;
+    for (int last = 0; last < quotaRunMicros.size(); last++) {
+      while (quotaRunMicros.get(last) - quotaRunMicros.get(first) > bound.windowMicros()) {
+        first++;
       }
-      if (to - from + 1 > most) {
-        breach(
+      int runs = last - first + 1;
+      if (runs > maxRuns) {
+        addViolation(
             "quota: "
-                + (to - from + 1)
+                + runs
                 + " runs up to "
-                + counted.get(to) / 1000
+                + quotaRunMicros.get(last) / 1000
                 + ", allowed "
-                + most);
+                + maxRuns);
         return;
       }
     }
--- a/src/main/java/org/otterpond/simulation/LinearizabilityChecker.java
+++ b/src/main/java/org/otterpond/simulation/LinearizabilityChecker.java
@@ -1,28 +1,37 @@
 package org.otterpond.simulation;
 
 import java.util.ArrayList;
+import java.util.Comparator;
 import java.util.List;
 import java.util.Objects;
 
 /**
- * Whether a history of the one configuration could have come from a register that does one thing at
- * a time, each call at some moment between its invocation and its return. An order takes effect
- * only on the revision that it names as its base, once, and answers 200 then and ever after; a
- * refusal says that at its moment another revision was current and the order had not taken effect.
- * An order without a clear answer takes effect at any time after its invocation or never.
+ * Decides whether a history is linearizable: whether the one replicated configuration behaved like
+ * a register on which every operation takes effect at one moment between its invocation and its
+ * return.
  *
- * <p>The search is Wing and Gong's, made cheap: revisions rise, so a run of the register is a chain
- * of orders each of which has the revision of the one before as its base. Chains are tried in
- * depth; a chain is given up as soon as {@link RevisionIntervals} finds no moments for it. Only
- * orders nobody saw the effect of leave a choice.
+ * <p>The register holds a revision and its content. A write takes effect only if its base is the
+ * current revision, and only once; it returns 200 then and at every later attempt. A rejection says
+ * that at its moment another revision was current and the write had not taken effect. A write
+ * without a definite answer takes effect at any time after its invocation, or never.
+ *
+ * <p>The search is that of Wing and Gong ("Testing and Verifying Concurrent Objects", 1993),
+ * narrowed to this register: as revisions only grow, an execution is a chain of writes each of
+ * which has the revision of the one before as its base. Chains are extended depth first, and a
+ * chain is abandoned as soon as {@link RevisionIntervals} finds no times for its writes. Where
+ * every base has one candidate the number of steps is linear in the number of writes, and each step
+ * is at least linear in the length of the chain. Only writes whose effect nobody has seen leave
+ * more candidates; they multiply the steps, whose number is bounded.
  */
 final class LinearizabilityChecker {
-  private static final int MOST_STEPS = 60_000;
+  private static final int MAX_STEPS = 60_000;
+  private static final int MAX_EXPLAINED = 8;
 
+  /** The result of the check. */
   enum Verdict {
     LINEARIZABLE,
     VIOLATED,
-    /** Too many orders of unknown fate to try them all. */
+    /** Too many writes of unknown outcome to try all their orders. */
     UNDECIDED
   }
 
@@ -32,118 +41,130 @@
     this.history = history;
   }
 
+  /** Checks the whole history. */
   Verdict verdict() {
     return new Search(new OperationIndex(history)).run();
   }
 
   /**
-   * The return that no run of the register explains although all before it can be explained, or
-   * null.
+   * The first operation whose return contradicts the history before it, or null if the history up
+   * to each return is linearizable or undecided.
    */
-  Operation culprit() {
-    List<Operation> returns =
+  Operation firstViolation() {
+    List<Operation> returned =
         history.stream()
-            .filter(o -> o.returned != Operation.NEVER)
-            .sorted((a, b) -> Long.compare(a.returned, b.returned))
+            .filter(operation -> operation.returnedMicros != Operation.NEVER)
+            .sorted(Comparator.comparingLong(operation -> operation.returnedMicros))
             .toList();
-    // A beginning of a linearizable history is linearizable, so the first that is not is found by
-    // halving.
+    // Every prefix of a linearizable history is linearizable, so a binary search finds the first
+    // that is not.
     int low = 0;
-    int high = returns.size();
+    int high = returned.size();
     while (low < high) {
       int middle = (low + high) / 2;
-      if (upTo(returns.get(middle).returned) == Verdict.VIOLATED) {
+      if (verdictAsOf(returned.get(middle).returnedMicros) == Verdict.VIOLATED) {
         high = middle;
       } else {
         low = middle + 1;
       }
     }
-    return low < returns.size() ? returns.get(low) : null;
+    return low < returned.size() ? returned.get(low) : null;
   }
 
-  private Verdict upTo(long moment) {
-    List<Operation> known = new ArrayList<>();
-    for (Operation o : history) {
-      if (o.invoked <= moment && (o.kind != Operation.Kind.SERVED || o.returned <= moment)) {
-        known.add(o.until(moment));
+  private Verdict verdictAsOf(long timeMicros) {
+    List<Operation> prefix = new ArrayList<>();
+    for (Operation operation : history) {
+      boolean known =
+          operation.kind == Operation.Kind.ACTIVATION
+              ? operation.returnedMicros <= timeMicros
+              : operation.invokedMicros <= timeMicros;
+      if (known) {
+        prefix.add(operation.asOf(timeMicros));
       }
     }
-    return new LinearizabilityChecker(known).verdict();
+    return new LinearizabilityChecker(prefix).verdict();
   }
 
+  /** The depth-first search for a chain of writes that explains the history. */
   private static final class Search {
-    private final OperationIndex calls;
-    private final RevisionIntervals times;
+    private final OperationIndex operations;
+    private final List<ConfigurationWrite> chain = new ArrayList<>();
     private int steps;
 
-    Search(OperationIndex calls) {
-      this.calls = calls;
-      this.times = new RevisionIntervals(calls);
+    Search(OperationIndex operations) {
+      this.operations = operations;
     }
 
     Verdict run() {
-      if (calls.contradictory()) {
+      if (operations.isContradictory()) {
         return Verdict.VIOLATED;
       }
-      if (from(new ArrayList<>(), 0, List.of())) {
+      if (extend(0, List.of())) {
         return Verdict.LINEARIZABLE;
       }
-      return steps > MOST_STEPS ? Verdict.UNDECIDED : Verdict.VIOLATED;
+      return steps > MAX_STEPS ? Verdict.UNDECIDED : Verdict.VIOLATED;
     }
 
-    /** Whether some chain that begins with this one explains everything. */
-    private boolean from(List<ConfigurationWrite> chain, long revision, List<String> content) {
-      if (++steps > MOST_STEPS || calls.shownOtherwise(revision, content)) {
+    /** Whether some chain that begins with the current one explains the history. */
+    private boolean extend(long revision, List<String> content) {
+      if (++steps > MAX_STEPS || operations.showsOtherContent(revision, content)) {
         return false;
       }
-      long next = calls.nextShown(revision);
-      // Cut short by its last version, a chain must still have moments for what is settled.
-      if (!times.possible(chain, false)) {
+      if (!RevisionIntervals.possible(operations, chain, false)) {
         return false;
       }
-      if (next == Long.MAX_VALUE && times.possible(chain, true)) {
+      boolean lastShown = operations.nextShown(revision) == OperationIndex.NO_REVISION;
+      if (lastShown && RevisionIntervals.possible(operations, chain, true)) {
         return true;
       }
-      ConfigurationWrite confirmed = calls.confirmedOn(revision);
-      for (ConfigurationWrite o : calls.on(revision)) {
-        // Past a revision that somebody saw there is no way, and none past a confirmed order.
-        if (o.revision() <= revision
-            || o.revision() > next
-            || calls.invoked(o) == Operation.NEVER
-            || confirmed != null && !confirmed.equals(o)) {
+      for (ConfigurationWrite write : operations.writesOn(revision)) {
+        if (!mayFollow(revision, write)) {
           continue;
         }
-        chain.add(o);
-        if (from(chain, o.revision(), o.after(content))) {
+        chain.add(write);
+        if (extend(write.revision(), write.contentAfter(content))) {
           return true;
         }
         chain.remove(chain.size() - 1);
       }
       return false;
     }
+
+    /** A chain skips no revision that was shown, and no write that was confirmed. */
+    private boolean mayFollow(long revision, ConfigurationWrite write) {
+      ConfigurationWrite confirmed = operations.confirmedOn(revision);
+      return write.revision() > revision
+          && write.revision() <= operations.nextShown(revision)
+          && operations.firstInvoked(write) != Operation.NEVER
+          && (confirmed == null || confirmed.equals(write));
+    }
   }
 
-  /** A short account of the violation. */
+  /** Describes the first violation and the operations that it contradicts. */
   String explain() {
-    Operation o = culprit();
-    if (o == null) {
-      return "no single return is to blame";
+    Operation violation = firstViolation();
+    if (violation == null) {
+      return "no single operation contradicts the history before it";
     }
-    StringBuilder out = new StringBuilder("cannot be explained: " + o);
+    StringBuilder text = new StringBuilder("not linearizable: " + violation);
     history.stream()
-        .filter(h -> h != o && h.returned <= o.returned && related(h, o))
-        .sorted((a, b) -> Long.compare(b.returned, a.returned))
-        .limit(8)
-        .forEach(h -> out.append("; ").append(h));
-    return out.toString();
+        .filter(other -> other != violation && other.returnedMicros <= violation.returnedMicros)
+        .filter(other -> isRelated(other, violation))
+        .sorted(Comparator.comparingLong((Operation other) -> other.returnedMicros).reversed())
+        .limit(MAX_EXPLAINED)
+        .forEach(other -> text.append("; ").append(other));
+    return text.toString();
   }
 
-  private static boolean related(Operation a, Operation b) {
-    if (b.kind != Operation.Kind.WRITE) {
-      return a.kind != Operation.Kind.SERVED && (a.kind == Operation.Kind.READ || a.isConfirmed());
+  private static boolean isRelated(Operation other, Operation violation) {
+    if (violation.kind != Operation.Kind.WRITE) {
+      return other.kind == Operation.Kind.READ || other.isConfirmed();
+    }
+    ConfigurationWrite write = violation.write;
+    if (other.kind == Operation.Kind.WRITE) {
+      return Objects.equals(other.write, write)
+          || (other.write.base() == write.base() && other.isConfirmed());
     }
-    return a.kind == Operation.Kind.WRITE
-        ? Objects.equals(a.order, b.order) || a.order.base() == b.order.base() && a.isConfirmed()
-        : a.revision == b.order.revision() || a.revision == b.order.base();
+    return other.revision == write.revision() || other.revision == write.base();
   }
 }
--- a/src/main/java/org/otterpond/simulation/MessageInvariantChecker.java
+++ b/src/main/java/org/otterpond/simulation/MessageInvariantChecker.java
@@ -9,140 +9,181 @@
 import java.util.Set;
 
 /**
- * Holds what senders and workers have seen of messages against the rules; knows nothing of
- * partitions.
+ * Checks what producers and workers observe of messages against the guarantees of the message
+ * store. It knows nothing of partitions and replicas.
  */
 final class MessageInvariantChecker {
+  private static final long NOT_ACCEPTED = Long.MAX_VALUE;
+
   private final SimulatedWorld world;
-  final List<String> broken = new ArrayList<>();
-  final Map<String, Sent> accepted = new LinkedHashMap<>();
-  private final Map<String, Sent> sent = new HashMap<>();
-  private final Map<String, String> nameOf = new HashMap<>();
 
-  /** With no trouble that was not planned, nothing runs again after a success that was read. */
-  boolean calm;
+  /** What contradicts a guarantee, each with its time in milliseconds. */
+  final List<String> violations = new ArrayList<>();
+
+  /** The accepted messages by their ids, in the order of their acceptance. */
+  final Map<String, SentMessage> accepted = new LinkedHashMap<>();
+
+  private final Map<String, SentMessage> sentById = new HashMap<>();
+  private final Map<String, String> idByIdempotencyKey = new HashMap<>();
 
-  int again;
-  int runs;
+  /**
+   * Whether a message that runs again after a success was answered is a violation, as it is while
+   * no fault is injected.
+   */
+  boolean requiresSingleExecution;
 
-  static final class Sent {
+  /** One message as its producer knows it. */
+  static final class SentMessage {
     final String id;
-    final String line;
-    final long at;
-    final long notBefore;
-    final String body;
-    long acceptedAt = Long.MAX_VALUE;
-    boolean ended;
-    boolean read;
-    int failures;
-    final Set<String> seals = new HashSet<>();
-
-    Sent(String id, String line, long at, long notBefore, String body) {
+    private final String orderingKey;
+    private final long sentMicros;
+    private final long notBeforeMicros;
+    private final String body;
+    private long acceptedMicros = NOT_ACCEPTED;
+    private boolean rejected;
+
+    /** Whether it has succeeded, was rejected by a worker or has failed too often. */
+    private boolean ended;
+
+    private boolean successAnswered;
+    private int failures;
+    private final Set<String> results = new HashSet<>();
+
+    private SentMessage(
+        String id, String orderingKey, long sentMicros, long notBeforeMicros, String body) {
       this.id = id;
-      this.line = line;
-      this.at = at;
-      this.notBefore = notBefore;
+      this.orderingKey = orderingKey;
+      this.sentMicros = sentMicros;
+      this.notBeforeMicros = notBeforeMicros;
       this.body = body;
     }
+
+    boolean hasEnded() {
+      return ended;
+    }
   }
 
   MessageInvariantChecker(SimulatedWorld world) {
     this.world = world;
   }
 
-  void breach(String what) {
-    broken.add(world.now() / 1000 + " " + what);
+  /** Records something that contradicts a guarantee. */
+  void addViolation(String description) {
+    violations.add(world.now() / 1000 + " " + description);
   }
 
-  Sent sent(String id, String line, long delay, String body) {
-    Sent s = new Sent(id, line, world.now(), world.now() + delay, body);
-    sent.put(id, s);
-    return s;
+  /**
+   * Records that a producer sends a message.
+   *
+   * @param orderingKey messages of one key are delivered in order; null if any order will do
+   * @param delayMicros the message must not run before this time has passed
+   */
+  SentMessage sent(String id, String orderingKey, long delayMicros, String body) {
+    SentMessage message =
+        new SentMessage(id, orderingKey, world.now(), world.now() + delayMicros, body);
+    sentById.put(id, message);
+    return message;
   }
 
-  /** A 202, with the name that it gave. */
-  void accepted(Sent s, String operation, String name) {
-    if (operation != null) {
-      String first = nameOf.putIfAbsent(operation, name);
-      if (first != null && !first.equals(name)) {
-        breach("operation " + operation + " is " + first + " and " + name);
+  /**
+   * Records that a message was accepted.
+   *
+   * @param idempotencyKey the key that the producer has sent, or null
+   * @param id the id that the answer gives: of this message or of an earlier one of the same key
+   */
+  void accepted(String idempotencyKey, String id) {
+    if (idempotencyKey != null) {
+      String first = idByIdempotencyKey.putIfAbsent(idempotencyKey, id);
+      if (first != null && !first.equals(id)) {
+        addViolation("idempotency key " + idempotencyKey + " is " + first + " and " + id);
       }
     }
-    Sent kept = sent.get(name);
-    if (kept == null) {
-      breach("accepted under a name never sent: " + name);
+    SentMessage message = sentById.get(id);
+    if (message == null) {
+      addViolation("accepted under an id never sent: " + id);
       return;
     }
-    kept.acceptedAt = Math.min(kept.acceptedAt, world.now());
-    accepted.putIfAbsent(name, kept);
+    message.acceptedMicros = Math.min(message.acceptedMicros, world.now());
+    accepted.putIfAbsent(id, message);
   }
 
-  /** Told that it was not taken and never will be. */
-  void refused(Sent s) {
-    s.acceptedAt = Long.MIN_VALUE;
+  /** Records that a message was certainly not accepted, and never will be. */
+  void rejected(SentMessage message) {
+    message.rejected = true;
   }
 
-  void began(String id) {
-    runs++;
-    Sent s = sent.get(id);
-    if (s == null) {
-      breach("a worker gets what nobody sent: " + id);
+  /** Records that a worker begins to execute a message. */
+  void executionStarted(String id) {
+    SentMessage message = sentById.get(id);
+    if (message == null) {
+      addViolation("a worker gets what nobody sent: " + id);
       return;
     }
-    if (s.acceptedAt == Long.MIN_VALUE) {
-      breach("REFUSED " + id + " runs though it was refused");
+    if (message.rejected) {
+      addViolation("REJECTED " + id + " runs though it was rejected");
     }
-    if (world.now() < s.notBefore) {
-      breach("EARLY " + id);
+    if (world.now() < message.notBeforeMicros) {
+      addViolation("EARLY " + id);
     }
-    if (s.read) {
-      again++;
-      if (calm) {
-        breach("TWICE " + id);
-      }
+    if (message.successAnswered && requiresSingleExecution) {
+      addViolation("TWICE " + id);
+    }
+    if (message.orderingKey != null) {
+      checkOrder(message);
     }
-    if (s.line != null) {
-      for (Sent o : accepted.values()) {
-        if (o != s && s.line.equals(o.line) && o.acceptedAt < s.at && !o.ended) {
-          breach("ORDER " + id + " begins before the end of " + o.id);
-        }
+  }
+
+  /** A message must not begin before those that were accepted before it was sent have ended. */
+  private void checkOrder(SentMessage message) {
+    for (SentMessage earlier : accepted.values()) {
+      if (earlier != message
+          && message.orderingKey.equals(earlier.orderingKey)
+          && (earlier.rejected || earlier.acceptedMicros < message.sentMicros)
+          && !earlier.ended) {
+        addViolation("ORDER " + message.id + " begins before the end of " + earlier.id);
       }
     }
   }
 
-  void succeeded(String id, String seal) {
-    Sent s = sent.get(id);
-    s.ended = true;
-    s.seals.add(seal);
+  /** Records that a worker has executed a message, and with which result. */
+  void executionSucceeded(String id, String result) {
+    SentMessage message = sentById.get(id);
+    message.ended = true;
+    message.results.add(result);
   }
 
-  void read(String id) {
-    sent.get(id).read = true;
+  /** Records that a storage node has received the answer of a successful execution. */
+  void successAnswered(String id) {
+    sentById.get(id).successAnswered = true;
   }
 
-  void refusedForGood(String id) {
-    sent.get(id).ended = true;
+  /** Records that a worker has rejected a message for good. */
+  void executionRejected(String id) {
+    sentById.get(id).ended = true;
   }
 
-  void failed(String id, int most) {
-    Sent s = sent.get(id);
-    s.failures++;
-    s.ended |= s.failures >= most;
+  /** Records a failed execution; the last of so many attempts ends the message. */
+  void executionFailed(String id, int maxAttempts) {
+    SentMessage message = sentById.get(id);
+    message.failures++;
+    message.ended |= message.failures >= maxAttempts;
   }
 
-  void state(Sent s, String state, String seal) {
+  /** Checks the final state of an accepted message, or null if the store does not know it. */
+  void stateQueried(SentMessage message, String state, String result) {
     if (state == null) {
-      breach("LOST " + s.id + ": unknown at the end");
-    } else if (state.equals("COMPLETED") && !s.seals.contains(seal)) {
-      breach("MIXED " + s.id + " completed with a seal that no run gave");
-    } else if (state.equals("DEAD_LETTER") && !s.ended) {
-      breach("MIXED " + s.id + " is dead and has not ended");
+      addViolation("LOST " + message.id + ": unknown at the end");
+    } else if (state.equals("COMPLETED") && !message.results.contains(result)) {
+      addViolation("MIXED " + message.id + " completed with a result that no execution gave");
+    } else if (state.equals("DEAD_LETTER") && !message.ended) {
+      addViolation("MIXED " + message.id + " is a dead letter and has not ended");
     }
   }
 
-  void body(Sent s, String bytes) {
-    if (!s.body.equals(bytes)) {
-      breach("MIXED bytes of " + s.id);
+  /** Checks the stored body of an accepted message. */
+  void bodyQueried(SentMessage message, String body) {
+    if (!message.body.equals(body)) {
+      addViolation("MIXED bytes of " + message.id);
     }
   }
 }
--- a/src/main/java/org/otterpond/simulation/Operation.java
+++ b/src/main/java/org/otterpond/simulation/Operation.java
@@ -3,43 +3,51 @@
 import java.util.List;
 
 /**
- * One call in a history, from its invocation to its return. What has no clear answer never returns.
+ * One operation of a history, from its invocation to its return. An operation without a definite
+ * answer never returns.
  */
 final class Operation {
+  /** The return time of an operation that has not returned. */
   static final long NEVER = Long.MAX_VALUE;
 
+  /** What an operation does. */
   enum Kind {
-    /** An order sent once; sending it again is another operation with the same order. */
+    /** One attempt of a write; another attempt is another operation with the same write. */
     WRITE,
+    /** A read of the current configuration. */
     READ,
     /**
-     * A node has put a version in force, which it may do any time after that version was current.
+     * A node has activated a revision, which it may do at any time after that revision was current.
      */
-    SERVED
+    ACTIVATION
   }
 
   final Kind kind;
   final String node;
-  final ConfigurationWrite order;
-  final long invoked;
-  long returned = NEVER;
 
-  /** The answer to an order; 0 as long as there is none. */
+  /** What is written; null for a read and an activation. */
+  final ConfigurationWrite write;
+
+  final long invokedMicros;
+  long returnedMicros = NEVER;
+
+  /** The HTTP status of a write; 0 as long as there is none. */
   int status;
 
-  /** What a read, or a node, showed. */
+  /** The revision that a read or an activation has shown. */
   long revision;
 
+  /** The markers of that revision, see {@link ConfigurationWrite}. */
   List<String> content = List.of();
 
-  Operation(Kind kind, String node, ConfigurationWrite order, long invoked) {
+  Operation(Kind kind, String node, ConfigurationWrite write, long invokedMicros) {
     this.kind = kind;
     this.node = node;
-    this.order = order;
-    this.invoked = invoked;
+    this.write = write;
+    this.invokedMicros = invokedMicros;
   }
 
-  boolean isRefusal() {
+  boolean isRejected() {
     return kind == Kind.WRITE && status >= 400 && status < 500;
   }
 
@@ -47,31 +55,31 @@
     return kind == Kind.WRITE && status == 200;
   }
 
-  /** The same call as it stood at a moment before everything else was known. */
-  Operation until(long moment) {
-    Operation o = new Operation(kind, node, order, invoked);
-    if (returned <= moment) {
-      o.returned = returned;
-      o.status = status;
-      o.revision = revision;
-      o.content = content;
+  /** The operation as it stood at a moment: not returned if it returned later. */
+  Operation asOf(long timeMicros) {
+    Operation earlier = new Operation(kind, node, write, invokedMicros);
+    if (returnedMicros <= timeMicros) {
+      earlier.returnedMicros = returnedMicros;
+      earlier.status = status;
+      earlier.revision = revision;
+      earlier.content = content;
     }
-    return o;
+    return earlier;
   }
 
   @Override
   public String toString() {
+    boolean pending = returnedMicros == NEVER;
     String what =
         switch (kind) {
-          case WRITE ->
-              "write " + order + " -> " + (returned == NEVER ? "no clear answer" : "" + status);
-          case READ -> "read -> " + (returned == NEVER ? "no answer" : revision + " " + content);
-          case SERVED -> "serves " + revision + " " + content;
+          case WRITE -> "write " + write + " -> " + (pending ? "no definite answer" : status);
+          case READ -> "read -> " + (pending ? "no answer" : revision + " " + content);
+          case ACTIVATION -> "activates " + revision + " " + content;
         };
     return "["
-        + invoked / 1000
+        + invokedMicros / 1000
         + ".."
-        + (returned == NEVER ? "" : returned / 1000)
+        + (pending ? "" : returnedMicros / 1000)
         + " ms "
         + node
         + "] "
--- a/src/main/java/org/otterpond/simulation/OperationIndex.java
+++ b/src/main/java/org/otterpond/simulation/OperationIndex.java
@@ -9,106 +9,121 @@
 import java.util.Set;
 import java.util.TreeSet;
 
-/** A history sorted for the check: by order, by base and by the revision that was shown. */
+/**
+ * The operations of a history by what the linearizability check looks them up by: the write, its
+ * base revision and the revision that was shown.
+ */
 final class OperationIndex {
+  /** What {@link #nextShown} returns if no later revision was shown. */
+  static final long NO_REVISION = Long.MAX_VALUE;
+
   private static final int PRECONDITION_FAILED = 412;
 
-  private final Map<Long, Set<ConfigurationWrite>> byBase = new HashMap<>();
-  private final Map<ConfigurationWrite, Long> invoked = new HashMap<>();
-  private final Map<ConfigurationWrite, Long> confirmed = new HashMap<>();
-  private final Map<Long, List<Operation>> refusedByBase = new HashMap<>();
-  private final Map<Long, List<Operation>> reads = new HashMap<>();
-  private final Map<Long, ConfigurationWrite> confirmedOn = new HashMap<>();
+  private final Map<Long, Set<ConfigurationWrite>> writesByBase = new HashMap<>();
+  private final Map<ConfigurationWrite, Long> firstInvokedMicros = new HashMap<>();
+  private final Map<ConfigurationWrite, Long> firstConfirmedMicros = new HashMap<>();
+  private final Map<Long, List<Operation>> rejectionsByBase = new HashMap<>();
+  private final Map<Long, List<Operation>> readsByRevision = new HashMap<>();
+  private final Map<Long, ConfigurationWrite> confirmedByBase = new HashMap<>();
 
-  /** Revisions that must have been current at some time: somebody saw them, or was told 200. */
-  private final TreeSet<Long> shown = new TreeSet<>();
+  /** Revisions that were current at some time: they were read, activated or confirmed. */
+  private final TreeSet<Long> shownRevisions = new TreeSet<>();
 
   private boolean contradictory;
 
   OperationIndex(List<Operation> history) {
-    for (Operation o : history) {
-      if (o.kind == Operation.Kind.WRITE) {
-        write(o);
-      } else if (o.returned != Operation.NEVER) {
-        reads.computeIfAbsent(o.revision, r -> new ArrayList<>()).add(o);
-        shown.add(o.revision);
+    for (Operation operation : history) {
+      if (operation.kind == Operation.Kind.WRITE) {
+        addWrite(operation);
+      } else if (operation.returnedMicros != Operation.NEVER) {
+        readsByRevision
+            .computeIfAbsent(operation.revision, revision -> new ArrayList<>())
+            .add(operation);
+        shownRevisions.add(operation.revision);
       }
     }
-    // What is known to have taken effect is tried first.
-    byBase.replaceAll(
-        (base, orders) -> {
-          List<ConfigurationWrite> sorted = new ArrayList<>(orders);
-          sorted.sort(
-              Comparator.comparing((ConfigurationWrite x) -> !shown.contains(x.revision())));
-          return new LinkedHashSet<>(sorted);
-        });
+    writesByBase.replaceAll((base, writes) -> shownFirst(writes));
+  }
+
+  /** Sorts writes so that the search tries those first that are known to have taken effect. */
+  private Set<ConfigurationWrite> shownFirst(Set<ConfigurationWrite> writes) {
+    List<ConfigurationWrite> sorted = new ArrayList<>(writes);
+    sorted.sort(
+        Comparator.comparing(
+            (ConfigurationWrite write) -> !shownRevisions.contains(write.revision())));
+    return new LinkedHashSet<>(sorted);
   }
 
-  private void write(Operation o) {
-    ConfigurationWrite order = o.order;
-    byBase.computeIfAbsent(order.base(), b -> new LinkedHashSet<>()).add(order);
-    if (!o.isRefusal()) {
-      // A call that was refused has done nothing, and will not.
-      invoked.merge(order, o.invoked, Math::min);
+  private void addWrite(Operation operation) {
+    ConfigurationWrite write = operation.write;
+    writesByBase.computeIfAbsent(write.base(), base -> new LinkedHashSet<>()).add(write);
+    if (!operation.isRejected()) {
+      // A rejected attempt has not taken effect and never will.
+      firstInvokedMicros.merge(write, operation.invokedMicros, Math::min);
     }
-    if (o.isConfirmed()) {
-      confirmed.merge(order, o.returned, Math::min);
-      ConfigurationWrite other = confirmedOn.put(order.base(), order);
-      contradictory |= other != null && !other.equals(order);
-      shown.add(order.base());
-      shown.add(order.revision());
-    } else if (o.isRefusal()) {
-      refusedByBase.computeIfAbsent(order.base(), b -> new ArrayList<>()).add(o);
-      // All orders are valid and above their base: nothing but another base is a cause to refuse
-      // one.
-      contradictory |= o.status != PRECONDITION_FAILED;
+    if (operation.isConfirmed()) {
+      firstConfirmedMicros.merge(write, operation.returnedMicros, Math::min);
+      ConfigurationWrite other = confirmedByBase.put(write.base(), write);
+      contradictory |= other != null && !other.equals(write);
+      shownRevisions.add(write.base());
+      shownRevisions.add(write.revision());
+    } else if (operation.isRejected()) {
+      rejectionsByBase.computeIfAbsent(write.base(), base -> new ArrayList<>()).add(operation);
+      // All writes are valid and above their base: only another current revision is a reason to
+      // reject one.
+      contradictory |= operation.status != PRECONDITION_FAILED;
     }
   }
 
   /**
-   * Whether two orders were confirmed on one base, or one refused for no cause that there can be.
+   * Whether two writes were confirmed on one base, or one was rejected for a reason that cannot
+   * apply.
    */
-  boolean contradictory() {
+  boolean isContradictory() {
     return contradictory;
   }
 
-  Set<ConfigurationWrite> on(long base) {
-    return byBase.getOrDefault(base, Set.of());
+  /** All writes on a base revision, those first that are known to have taken effect. */
+  Set<ConfigurationWrite> writesOn(long base) {
+    return writesByBase.getOrDefault(base, Set.of());
   }
 
+  /** The write that was confirmed on a base revision, or null. */
   ConfigurationWrite confirmedOn(long base) {
-    return confirmedOn.get(base);
+    return confirmedByBase.get(base);
   }
 
   /**
-   * When the order was sent first in a call that was not refused; {@link Operation#NEVER} if all
-   * were.
+   * When the write was first invoked in an attempt that was not rejected; {@link Operation#NEVER}
+   * if all were.
    */
-  long invoked(ConfigurationWrite o) {
-    return invoked.getOrDefault(o, Operation.NEVER);
+  long firstInvoked(ConfigurationWrite write) {
+    return firstInvokedMicros.getOrDefault(write, Operation.NEVER);
   }
 
-  /** When the order was confirmed first; {@link Operation#NEVER} if it was not. */
-  long confirmed(ConfigurationWrite o) {
-    return confirmed.getOrDefault(o, Operation.NEVER);
+  /** When the write was first confirmed; {@link Operation#NEVER} if it was not. */
+  long firstConfirmed(ConfigurationWrite write) {
+    return firstConfirmedMicros.getOrDefault(write, Operation.NEVER);
   }
 
-  List<Operation> refusedOn(long base) {
-    return refusedByBase.getOrDefault(base, List.of());
+  /** The rejected attempts of writes on a base revision. */
+  List<Operation> rejectionsOn(long base) {
+    return rejectionsByBase.getOrDefault(base, List.of());
   }
 
-  List<Operation> reads(long revision) {
-    return reads.getOrDefault(revision, List.of());
+  /** The reads and activations of a revision. */
+  List<Operation> readsOf(long revision) {
+    return readsByRevision.getOrDefault(revision, List.of());
   }
 
-  /** Whether somebody saw another content under this revision. */
-  boolean shownOtherwise(long revision, List<String> content) {
-    return reads(revision).stream().anyMatch(r -> !r.content.equals(content));
+  /** Whether a read or an activation has shown another content under this revision. */
+  boolean showsOtherContent(long revision, List<String> content) {
+    return readsOf(revision).stream().anyMatch(read -> !read.content.equals(content));
   }
 
-  /** The least revision above this one that must have been current. */
+  /** The least revision above this one that was current at some time, or NO_REVISION. */
   long nextShown(long revision) {
-    Long next = shown.higher(revision);
-    return next == null ? Long.MAX_VALUE : next;
+    Long next = shownRevisions.higher(revision);
+    return next == null ? NO_REVISION : next;
   }
 }
--- a/src/main/java/org/otterpond/simulation/OperatorClient.java
+++ b/src/main/java/org/otterpond/simulation/OperatorClient.java
@@ -10,210 +10,250 @@
 import org.otterpond.protocol.WireRecord;
 
 /**
- * The calls of operators, as a node's control point carries them to the primary: an answer that
- * does not come in time, or is lost on its way, is none, and the order is sent again as it was, to
- * any node. All is written down in a history.
+ * Sends the requests of operators to any node, as the control API carries them to the primary, and
+ * records them in a history. A write without a definite answer in time is sent again unchanged.
  */
-final class OperatorClient {
-  private static final long ASK = 850_000;
-  private static final long RESEND = 250_000;
-  private static final long BIG_ASK = 2_500_000;
-  private static final long BIG_RESEND = 1_200_000;
-  private static final int BIG = 64 * 1024;
-  private static final long PATIENCE = 1_000_000;
-  private static final int MOST_TRIES = 8;
-  private static final long LATEST = 20_000_000;
-
-  private final SimulatedCluster fleet;
+final class OperatorClient implements ClientAccess {
+  private static final int HTTP_OK = 200;
+
+  /** The time-outs of a request within the cluster and of the operator who waits for its answer. */
+  private record Timeouts(long requestMicros, long retryMicros, long operatorMicros) {}
+
+  private static final Timeouts REGULAR = new Timeouts(850_000, 250_000, 1_000_000);
+  private static final Timeouts LARGE = new Timeouts(2_500_000, 1_200_000, 3_000_000);
+  private static final int LARGE_CHARS = 64 * 1024;
+
+  private static final int MAX_ATTEMPTS_AT_END = 8;
+  private static final int LONG_BACKOFF_MICROS = 20_000_000;
+  private static final int SHORT_BACKOFF_MICROS = 600_000;
+  private static final long RELIABLE_BACKOFF_MICROS = 50_000;
+  private static final long NO_NODE_BACKOFF_MICROS = 200_000;
+  private static final int END_SPREAD_MICROS = 500_000;
+
+  private final SimulatedCluster cluster;
   private final SimulatedWorld world;
   private final OperationHistory history;
   private final Random random;
+  private final int maxChangesBetween;
 
-  /** An order is not sent again once more changes than that lie between. */
-  private final int mostBetween;
-
-  private final List<Sending> open = new ArrayList<>();
-  private double lost;
-
-  /** The newest revision that any operator has seen. */
-  private long seen;
+  /** Writes whose attempts are used up without a definite answer. */
+  private final List<PendingWrite> undecided = new ArrayList<>();
 
+  private double answerLoss;
+  private long newestSeen;
   private long connections;
 
-  /** Told when an order is confirmed. */
+  /** Notified when a write is confirmed. */
   Runnable onConfirmed = () -> {};
 
+  /** How many attempts of writes were confirmed. */
   int confirmed;
-  int refused;
+
+  /** How many attempts of writes were rejected. */
+  int rejected;
 
   /**
-   * An order with as many changes as were confirmed before it was sent first, and the tries that
-   * are left.
+   * A write that is being sent.
+   *
+   * @param confirmedBefore how many writes were confirmed when it was sent first
    */
-  private record Sending(ConfigurationWrite order, int before, int tries) {
-    Sending next() {
-      return new Sending(order, before, tries - 1);
+  private record PendingWrite(ConfigurationWrite write, int confirmedBefore, int attemptsLeft) {
+    private PendingWrite nextAttempt() {
+      return new PendingWrite(write, confirmedBefore, attemptsLeft - 1);
+    }
+
+    private Timeouts timeouts() {
+      return write.text().length() > LARGE_CHARS ? LARGE : REGULAR;
     }
   }
 
+  /**
+   * Creates a client.
+   *
+   * @param answerLoss the probability, from 0 to 1, that an answer never reaches the operator
+   * @param maxChangesBetween a write is not sent again once more changes than that were confirmed
+   *     since its first attempt
+   */
   OperatorClient(
-      SimulatedCluster fleet,
+      SimulatedCluster cluster,
       OperationHistory history,
       Random random,
-      double lost,
-      int mostBetween) {
-    this.mostBetween = mostBetween;
-    this.fleet = fleet;
-    this.world = fleet.world;
+      double answerLoss,
+      int maxChangesBetween) {
+    this.cluster = cluster;
+    this.world = cluster.world;
     this.history = history;
     this.random = random;
-    this.lost = lost;
+    this.answerLoss = answerLoss;
+    this.maxChangesBetween = maxChangesBetween;
   }
 
-  long seen() {
-    return seen;
+  /** The newest revision that any operator has seen. */
+  long newestSeen() {
+    return newestSeen;
   }
 
-  /** From now on all answers arrive; what has had none yet is asked for again. */
+  /** Lets all answers arrive from now on and sends the undecided writes again. */
   void settle() {
-    lost = 0;
-    List<Sending> left = new ArrayList<>(open);
-    open.clear();
-    left.forEach(
-        s ->
-            world.at(
-                random.nextInt(500_000),
-                () -> send(new Sending(s.order(), s.before(), MOST_TRIES))));
+    answerLoss = 0;
+    List<PendingWrite> resent = new ArrayList<>(undecided);
+    undecided.clear();
+    for (PendingWrite pending : resent) {
+      world.schedule(
+          random.nextInt(END_SPREAD_MICROS),
+          () ->
+              send(
+                  new PendingWrite(
+                      pending.write(), pending.confirmedBefore(), MAX_ATTEMPTS_AT_END)));
+    }
+  }
+
+  @Override
+  public SimulatedNode pickNode() {
+    List<SimulatedNode> running = cluster.runningNodes();
+    return running.isEmpty() ? null : running.get(random.nextInt(running.size()));
   }
 
-  SimulatedNode anyNode() {
-    List<SimulatedNode> up = fleet.all.stream().filter(n -> n.up() && n.storeDisk == null).toList();
-    return up.isEmpty() ? null : up.get(random.nextInt(up.size()));
+  /** Runs a request on a connection of its own; a frozen node gets it when it resumes. */
+  @Override
+  public void execute(SimulatedNode node, Runnable request) {
+    node.perform("call" + ++connections, request);
   }
 
-  /** Sends an order until it has a clear answer or so many tries have had none. */
-  void send(ConfigurationWrite order, int tries) {
-    send(new Sending(order, confirmed, tries));
+  /** Sends a write until it has a definite answer or so many attempts had none. */
+  void send(ConfigurationWrite write, int maxAttempts) {
+    send(new PendingWrite(write, confirmed, maxAttempts));
   }
 
-  private void send(Sending s) {
-    if (confirmed - s.before() > mostBetween) {
+  private void send(PendingWrite pending) {
+    if (confirmed - pending.confirmedBefore() > maxChangesBetween) {
       return;
     }
-    if (s.tries() == 0) {
-      open.add(s);
+    if (pending.attemptsLeft() == 0) {
+      undecided.add(pending);
       return;
     }
-    SimulatedNode n = anyNode();
-    if (n == null) {
-      world.at(200_000, () -> send(s));
+    SimulatedNode node = pickNode();
+    if (node == null) {
+      world.schedule(NO_NODE_BACKOFF_MICROS, () -> send(pending));
       return;
     }
-    ConfigurationWrite order = s.order();
-    Operation o = history.write(n.address, order);
-    boolean big = order.text().length() > BIG;
-    boolean[] over = {false};
-    long patience = big ? 3 * PATIENCE : PATIENCE;
-    world.at(patience, () -> unclear(over, s));
-    WireRecord ask =
-        new WireRecord("ask")
-            .with("op", "write")
-            .with("kind", order.kind())
-            .with("base", order.base())
-            .with("text", CompressedPayload.pack(order.text()));
-    n.call(
-        connection(),
-        () ->
-            n.node.ask(
-                ask,
-                big ? BIG_ASK : ASK,
-                big ? BIG_RESEND : RESEND,
-                r ->
-                    back(
-                        () -> {
-                          if (over[0]) {
-                            return;
-                          }
-                          if (r == null) {
-                            unclear(over, s);
-                            return;
-                          }
-                          over[0] = true;
-                          answered(o, (int) r.number("status"));
-                        })));
+    new WriteAttempt(node, pending).start();
   }
 
-  /** A new one for each call. */
-  String connection() {
-    return "call" + ++connections;
-  }
+  /** One attempt of a write, which ends with its answer or with the operator's time-out. */
+  private final class WriteAttempt {
+    private final SimulatedNode node;
+    private final PendingWrite pending;
+    private final Operation operation;
+    private boolean ended;
 
-  private void answered(Operation o, int status) {
-    history.answered(o, status);
-    if (status == 200) {
-      confirmed++;
-      seen = Math.max(seen, o.order.revision());
-      fleet.checker.acknowledged(o.order.base(), o.order.revision());
-      onConfirmed.run();
-    } else {
-      refused++;
+    WriteAttempt(SimulatedNode node, PendingWrite pending) {
+      this.node = node;
+      this.pending = pending;
+      this.operation = history.writeInvoked(node.address, pending.write());
+    }
+
+    void start() {
+      ConfigurationWrite write = pending.write();
+      Timeouts timeouts = pending.timeouts();
+      world.schedule(timeouts.operatorMicros(), this::endWithoutAnswer);
+      WireRecord request =
+          ControlRequests.writeConfiguration(write.kind(), write.base(), write.text());
+      execute(
+          node,
+          () ->
+              node.agent.ask(
+                  request,
+                  timeouts.requestMicros(),
+                  timeouts.retryMicros(),
+                  reply -> answerOperator(() -> answered(reply))));
+    }
+
+    private void answered(WireRecord reply) {
+      if (ended) {
+        return;
+      }
+      if (reply == null) {
+        endWithoutAnswer();
+        return;
+      }
+      ended = true;
+      recordAnswer(operation, (int) reply.number("status"));
     }
-  }
 
-  /** An answer on its way to the operator; some never arrive. */
-  private void back(Runnable arrived) {
-    if (random.nextDouble() >= lost) {
-      world.at(200 + random.nextInt(500), arrived);
+    private void endWithoutAnswer() {
+      if (ended) {
+        return;
+      }
+      ended = true;
+      long backoffMicros =
+          random.nextInt(random.nextInt(3) == 0 ? LONG_BACKOFF_MICROS : SHORT_BACKOFF_MICROS);
+      world.schedule(
+          answerLoss == 0 ? RELIABLE_BACKOFF_MICROS : backoffMicros,
+          () -> send(pending.nextAttempt()));
     }
   }
 
-  private void unclear(boolean[] over, Sending s) {
-    if (over[0]) {
+  private void recordAnswer(Operation operation, int status) {
+    history.writeReturned(operation, status);
+    if (status != HTTP_OK) {
+      rejected++;
       return;
     }
-    over[0] = true;
-    long pause = random.nextInt(3) == 0 ? random.nextInt((int) LATEST) : random.nextInt(600_000);
-    world.at(lost == 0 ? 50_000 : pause, () -> send(s.next()));
+    confirmed++;
+    ConfigurationWrite write = operation.write;
+    newestSeen = Math.max(newestSeen, write.revision());
+    cluster.checker.writeAcknowledged(write.base(), write.revision());
+    onConfirmed.run();
+  }
+
+  /** Carries an answer to the operator; some are lost. */
+  private void answerOperator(Runnable arrived) {
+    if (random.nextDouble() >= answerLoss) {
+      world.schedule(200 + random.nextInt(500), arrived);
+    }
   }
 
+  /** Reads the configuration from any node. */
   void read() {
-    SimulatedNode n = anyNode();
-    if (n == null) {
+    SimulatedNode node = pickNode();
+    if (node == null) {
       return;
     }
-    Operation o = history.read(n.address);
-    n.call(
-        connection(),
+    Operation operation = history.readInvoked(node.address);
+    execute(
+        node,
         () ->
-            n.node.ask(
-                new WireRecord("ask").with("op", "read"),
-                ASK,
-                RESEND,
-                r ->
-                    back(
-                        () -> {
-                          if (r != null && world.now() - o.invoked <= PATIENCE) {
-                            history.returned(
-                                o,
-                                r.number("rev"),
-                                r.has("text") ? markers(r.bytes("text")) : List.of());
-                            seen = Math.max(seen, o.revision);
-                          }
-                        })));
+            node.agent.ask(
+                ControlRequests.readConfiguration(),
+                REGULAR.requestMicros(),
+                REGULAR.retryMicros(),
+                reply -> answerOperator(() -> readAnswered(operation, reply))));
+  }
+
+  private void readAnswered(Operation operation, WireRecord reply) {
+    if (reply == null || world.now() - operation.invokedMicros > REGULAR.operatorMicros()) {
+      return;
+    }
+    List<String> content = reply.has("text") ? markers(reply.bytes("text")) : List.of();
+    history.readReturned(operation, reply.number("rev"), content);
+    newestSeen = Math.max(newestSeen, operation.revision);
   }
 
-  private static List<String> markers(byte[] text) {
-    List<String> out = new ArrayList<>();
+  /** The names of all tenants of a configuration. */
+  private static List<String> markers(byte[] compressedText) {
     try {
-      for (JsonElement e :
-          JsonParser.parseString(CompressedPayload.unpackText(text))
+      List<String> names = new ArrayList<>();
+      for (JsonElement tenant :
+          JsonParser.parseString(CompressedPayload.unpackText(compressedText))
               .getAsJsonObject()
               .getAsJsonArray("subscribers")) {
-        out.add(e.getAsJsonObject().get("name").getAsString());
+        names.add(tenant.getAsJsonObject().get("name").getAsString());
       }
+      return names;
     } catch (ProtocolException e) {
-      throw new IllegalStateException(e);
+      throw new SimulationException("The configuration that a read returned is malformed", e);
     }
-    return out;
   }
 }
--- a/src/main/java/org/otterpond/simulation/PausedTasks.java
+++ b/src/main/java/org/otterpond/simulation/PausedTasks.java
@@ -9,57 +9,66 @@
 import java.util.Random;
 
 /**
- * What a frozen process finds when it wakes: on its sockets, and of its own (timers, answers of the
- * disk).
+ * What a frozen process finds when it resumes: messages on its connections, and tasks of its own
+ * such as expired timers and completed disk writes.
  */
 final class PausedTasks {
-  /** The connection is null for what is the process's own. */
-  private record Waiting(String connection, Runnable task) {}
+  /** The connection is null for a task of the process's own. */
+  private record PausedTask(String connection, Runnable task) {}
 
-  private final List<Waiting> waiting = new ArrayList<>();
+  private final List<PausedTask> tasks = new ArrayList<>();
 
+  /** Adds a task; the connection is null for a task of the process's own. */
   void add(String connection, Runnable task) {
-    waiting.add(new Waiting(connection, task));
+    tasks.add(new PausedTask(connection, task));
   }
 
   void clear() {
-    waiting.clear();
+    tasks.clear();
   }
 
-  /** Takes all of it, as it came. */
-  List<Runnable> inOrder() {
-    List<Runnable> out = new ArrayList<>();
-    waiting.forEach(w -> out.add(w.task()));
-    waiting.clear();
-    return out;
+  /** Takes all tasks in the order in which they were added. */
+  List<Runnable> takeInOrder() {
+    List<Runnable> taken = new ArrayList<>();
+    tasks.forEach(paused -> taken.add(paused.task()));
+    tasks.clear();
+    return taken;
   }
 
   /**
-   * Takes all of it, sockets apart from the rest. Connections are read in any order, each in its
-   * own.
+   * Takes all tasks, those of connections apart from the process's own. Connections are read in a
+   * random order, each in the order of its messages.
+   *
+   * @param socketsFirst whether the tasks of connections come before the process's own
    */
-  List<Runnable> apart(boolean socketsFirst, Random random) {
-    Map<String, Deque<Runnable>> sockets = new LinkedHashMap<>();
+  List<Runnable> takeByConnection(boolean socketsFirst, Random random) {
+    Map<String, Deque<Runnable>> byConnection = new LinkedHashMap<>();
     List<Runnable> own = new ArrayList<>();
-    for (Waiting w : waiting) {
-      if (w.connection() == null) {
-        own.add(w.task());
+    for (PausedTask paused : tasks) {
+      if (paused.connection() == null) {
+        own.add(paused.task());
       } else {
-        sockets.computeIfAbsent(w.connection(), c -> new ArrayDeque<>()).add(w.task());
+        byConnection
+            .computeIfAbsent(paused.connection(), connection -> new ArrayDeque<>())
+            .add(paused.task());
       }
     }
-    waiting.clear();
+    tasks.clear();
+    List<Runnable> read = interleave(new ArrayList<>(byConnection.values()), random);
+    List<Runnable> taken = new ArrayList<>(socketsFirst ? read : own);
+    taken.addAll(socketsFirst ? own : read);
+    return taken;
+  }
+
+  private static List<Runnable> interleave(List<Deque<Runnable>> connections, Random random) {
     List<Runnable> read = new ArrayList<>();
-    List<Deque<Runnable>> open = new ArrayList<>(sockets.values());
-    while (!open.isEmpty()) {
-      int at = random.nextInt(open.size());
-      read.add(open.get(at).poll());
-      if (open.get(at).isEmpty()) {
-        open.remove(at);
+    while (!connections.isEmpty()) {
+      int index = random.nextInt(connections.size());
+      read.add(connections.get(index).poll());
+      if (connections.get(index).isEmpty()) {
+        connections.remove(index);
       }
     }
-    List<Runnable> out = new ArrayList<>(socketsFirst ? read : own);
-    out.addAll(socketsFirst ? own : read);
-    return out;
+    return read;
   }
 }
--- a/src/main/java/org/otterpond/simulation/RevisionIntervals.java
+++ b/src/main/java/org/otterpond/simulation/RevisionIntervals.java
@@ -4,80 +4,105 @@
 import java.util.List;
 
 /**
- * Whether the versions of a chain can have become current at moments that agree with every call.
- * Let t(k) be the moment of the k-th order of the chain, t(0) = 0 for what was there first. The
- * calls ask for:
+ * Decides whether the writes of a chain can have taken effect at times that agree with every
+ * operation. Let t(k) be the time at which the k-th write of the chain takes effect, and t(0) = 0
+ * for the initial configuration. The operations demand:
  *
  * <ul>
- *   <li>t(k) not before t(k-1), nor before the order's first invocation, nor after its first 200;
- *   <li>of a read of version k: t(k) not after its return, t(k+1) not before its invocation;
- *   <li>of a refusal of the order k itself: its base had not come into being, so t(k-1) not before
- *       its invocation;
- *   <li>of a refusal of another order on version k: t(k) not before its invocation (the base was
- *       still to come), or t(k+1) not after its return (the base had gone).
+ *   <li>t(k) is not before t(k-1), nor before the first invocation of the write, nor after its
+ *       first confirmation;
+ *   <li>for a read of revision k: t(k) is not after its return, t(k+1) not before its invocation;
+ *   <li>for a rejection of write k itself: its base was not current yet, so t(k-1) is not before
+ *       the invocation;
+ *   <li>for a rejection of another write on revision k: t(k) is not before its invocation (the base
+ *       was not current yet), or t(k+1) is not after its return (the base was no longer current).
  * </ul>
  *
- * <p>Each of these, the last too, holds of the pointwise least of two solutions if it holds of
- * both. So if there is any solution there is a least one. It is found by raising from 0 only what
- * must be raised: where t(k+1) is past a refusal's return already in the least solution it is in
- * every one, which leaves the other half of the last demand. The chain is possible if the least
- * solution keeps the upper bounds. Moments that are equal count as either order.
+ * <p>If two solutions meet these demands so does their pointwise minimum, the last demand included.
+ * So if there is a solution there is a least one. It is found by raising lower bounds from 0 only
+ * as far as they must be: where t(k+1) is after the return of a rejection in the least solution it
+ * is so in every one, which leaves the other alternative of the last demand. The chain is possible
+ * if the least solution keeps the upper bounds. Two equal times count as either order.
  */
 final class RevisionIntervals {
-  private final OperationIndex calls;
+  private final OperationIndex operations;
+  private final List<ConfigurationWrite> chain;
+  private final boolean complete;
+  private final long[] earliest;
+  private final long[] latest;
 
-  RevisionIntervals(OperationIndex calls) {
-    this.calls = calls;
+  private RevisionIntervals(
+      OperationIndex operations, List<ConfigurationWrite> chain, boolean complete) {
+    this.operations = operations;
+    this.chain = chain;
+    this.complete = complete;
+    earliest = new long[chain.size() + 2];
+    latest = new long[chain.size() + 2];
   }
 
   /**
-   * If {@code whole}, nothing follows the chain; else more may, and calls on its last version are
-   * left open.
+   * Decides for one chain.
+   *
+   * @param complete whether no write follows the chain; else more may, and operations on its last
+   *     revision are left open
    */
-  boolean possible(List<ConfigurationWrite> chain, boolean whole) {
-    int n = chain.size();
-    long[] least = new long[n + 2];
-    long[] most = new long[n + 2];
-    Arrays.fill(most, Operation.NEVER);
-    most[0] = 0;
-    least[n + 1] = whole ? Operation.NEVER : 0;
-    for (int k = 0; k <= n; k++) {
-      long revision = 0;
+  static boolean possible(
+      OperationIndex operations, List<ConfigurationWrite> chain, boolean complete) {
+    return new RevisionIntervals(operations, chain, complete).solve();
+  }
+
+  private boolean solve() {
+    boundByReadsAndWrites();
+    do {
+      if (!ascend()) {
+        return false;
+      }
+    } while (raiseByRejections());
+    return earliest[0] == 0;
+  }
+
+  private long revision(int index) {
+    return index == 0 ? 0 : chain.get(index - 1).revision();
+  }
+
+  private void boundByReadsAndWrites() {
+    Arrays.fill(latest, Operation.NEVER);
+    latest[0] = 0;
+    earliest[chain.size() + 1] = complete ? Operation.NEVER : 0;
+    for (int k = 0; k <= chain.size(); k++) {
       if (k > 0) {
-        ConfigurationWrite o = chain.get(k - 1);
-        revision = o.revision();
-        least[k] = Math.max(least[k], calls.invoked(o));
-        most[k] = Math.min(most[k], calls.confirmed(o));
+        ConfigurationWrite write = chain.get(k - 1);
+        earliest[k] = Math.max(earliest[k], operations.firstInvoked(write));
+        latest[k] = Math.min(latest[k], operations.firstConfirmed(write));
       }
-      for (Operation r : calls.reads(revision)) {
-        most[k] = Math.min(most[k], r.returned);
-        least[k + 1] = Math.max(least[k + 1], r.invoked);
+      for (Operation read : operations.readsOf(revision(k))) {
+        latest[k] = Math.min(latest[k], read.returnedMicros);
+        earliest[k + 1] = Math.max(earliest[k + 1], read.invokedMicros);
       }
     }
-    do {
-      for (int k = 1; k <= n; k++) {
-        least[k] = Math.max(least[k], least[k - 1]);
-        if (least[k] > most[k]) {
-          return false;
-        }
+  }
+
+  /** Raises each time to the one before it; false if one is then after its upper bound. */
+  private boolean ascend() {
+    for (int k = 1; k <= chain.size(); k++) {
+      earliest[k] = Math.max(earliest[k], earliest[k - 1]);
+      if (earliest[k] > latest[k]) {
+        return false;
       }
-    } while (raisedByRefusals(chain, least, whole));
-    return least[0] == 0;
+    }
+    return true;
   }
 
-  private boolean raisedByRefusals(List<ConfigurationWrite> chain, long[] least, boolean whole) {
-    int n = chain.size();
+  private boolean raiseByRejections() {
     boolean raised = false;
-    for (int k = 0; k <= n; k++) {
-      long revision = k == 0 ? 0 : chain.get(k - 1).revision();
-      ConfigurationWrite next = k < n ? chain.get(k) : null;
-      if (next == null && !whole) {
-        continue;
-      }
-      for (Operation f : calls.refusedOn(revision)) {
-        boolean gone = !f.order.equals(next) && least[k + 1] <= f.returned;
-        if (!gone && least[k] < f.invoked) {
-          least[k] = f.invoked;
+    int known = complete ? chain.size() : chain.size() - 1;
+    for (int k = 0; k <= known; k++) {
+      ConfigurationWrite next = k < chain.size() ? chain.get(k) : null;
+      for (Operation rejection : operations.rejectionsOn(revision(k))) {
+        boolean baseReplaced =
+            !rejection.write.equals(next) && earliest[k + 1] <= rejection.returnedMicros;
+        if (!baseReplaced && earliest[k] < rejection.invokedMicros) {
+          earliest[k] = rejection.invokedMicros;
           raised = true;
         }
       }
--- a/src/main/java/org/otterpond/simulation/Schedule.java
+++ b/src/main/java/org/otterpond/simulation/Schedule.java
@@ -3,61 +3,78 @@
 import com.google.gson.Gson;
 import com.google.gson.GsonBuilder;
 import com.google.gson.JsonSyntaxException;
+import com.google.gson.annotations.SerializedName;
 import java.util.ArrayList;
 import java.util.List;
 
 /**
- * All that decides a simulated run: the same schedule is the same run, event by event.
+ * Everything that decides a simulated run: the same schedule gives the same run, event by event.
+ * The serialized names are the form of a printed schedule line, which later versions must still
+ * read.
  *
- * @param faults how many machines may be lost at once
- * @param edgeFaults how many of those without a disk beside them; 0 counts them with the others
- * @param zones the machines stand in so many zones
- * @param width bytes a second on the links of machines without a disk; 0 has no bound
- * @param storm whether changes come in quick succession, and orders are sent again however many lie
- *     between
+ * @param seed the seed of the run
+ * @param coreSize the number of nodes with a disk
+ * @param maxFailures how many machines may be impaired at once
+ * @param edgeSize the number of nodes without a disk
+ * @param maxEdgeFailures how many nodes without a disk may be impaired beside them; 0 counts all
+ *     machines together
+ * @param zones over how many zones the machines are spread
+ * @param edgeBytesPerSecond the bandwidth of nodes without a disk; 0 sets no limit
+ * @param writeStorm whether writes follow each other in quick succession and are sent again however
+ *     many others were confirmed since
+ * @param seconds how long clients and faults are active, in simulated time
+ * @param faults the faults in the order of their beginnings
  */
 record Schedule(
     long seed,
-    int core,
-    int faults,
-    int edge,
-    int edgeFaults,
+    @SerializedName("core") int coreSize,
+    @SerializedName("faults") int maxFailures,
+    @SerializedName("edge") int edgeSize,
+    @SerializedName("edgeFaults") int maxEdgeFailures,
     int zones,
-    long width,
-    boolean storm,
+    @SerializedName("width") long edgeBytesPerSecond,
+    @SerializedName("storm") boolean writeStorm,
     int seconds,
-    List<Fault> entries) {
+    @SerializedName("entries") List<Fault> faults) {
+
   private static final Gson JSON = new GsonBuilder().disableHtmlEscaping().create();
 
+  /**
+   * Reads a schedule line.
+   *
+   * @throws JsonSyntaxException if it is no schedule
+   */
   static Schedule parse(String line) {
-    Schedule s = JSON.fromJson(line, Schedule.class);
-    if (s == null || s.entries() == null) {
-      throw new JsonSyntaxException("a schedule is wanted, as it was printed");
+    Schedule schedule = JSON.fromJson(line, Schedule.class);
+    if (schedule == null || schedule.faults() == null) {
+      throw new JsonSyntaxException("not a schedule line as it was printed");
     }
-    return s;
+    return schedule;
   }
 
-  Schedule without(int index) {
-    List<Fault> fewer = new ArrayList<>(entries);
-    fewer.remove(index);
+  /** The same schedule without one fault. */
+  Schedule without(int faultIndex) {
+    List<Fault> fewer = new ArrayList<>(faults);
+    fewer.remove(faultIndex);
     return with(fewer, seconds);
   }
 
-  Schedule with(List<Fault> other, int otherSeconds) {
+  /** The same schedule with other faults and another duration. */
+  Schedule with(List<Fault> otherFaults, int otherSeconds) {
     return new Schedule(
         seed,
-        core,
-        faults,
-        edge,
-        edgeFaults,
+        coreSize,
+        maxFailures,
+        edgeSize,
+        maxEdgeFailures,
         zones,
-        width,
-        storm,
+        edgeBytesPerSecond,
+        writeStorm,
         otherSeconds,
-        List.copyOf(other));
+        List.copyOf(otherFaults));
   }
 
-  /** One line, from which the run can be had again. */
+  /** The schedule as one line, from which {@link #parse} reads it again. */
   String line() {
     return JSON.toJson(this);
   }
--- a/src/main/java/org/otterpond/simulation/ScheduleOutcome.java
+++ b/src/main/java/org/otterpond/simulation/ScheduleOutcome.java
@@ -2,26 +2,35 @@
 
 import java.util.List;
 
-/** What a simulated run showed. A breach begins with a word for its sort. */
+/**
+ * The result of a simulated run.
+ *
+ * @param violations the guarantees that were broken
+ * @param operations the length of the operators' history
+ * @param confirmed how many attempts of writes were confirmed
+ * @param rejected how many attempts of writes were rejected
+ * @param keyGrants how many locks of idempotency keys were granted
+ * @param drains how many drains of workers were acknowledged
+ * @param faultsInjected how many faults were within the fault budget
+ * @param eventLog the log lines of all nodes
+ */
 record ScheduleOutcome(
-    List<String> breaches,
+    List<Violation> violations,
     int operations,
     int confirmed,
-    int refused,
-    int grants,
-    int leavings,
-    int faultsPlayed,
-    List<String> log) {
-  boolean sound() {
-    return breaches.isEmpty();
-  }
+    int rejected,
+    int keyGrants,
+    int drains,
+    int faultsInjected,
+    List<String> eventLog) {
 
-  /** Whether this is a failure of the same sort as another's first. */
-  boolean failsAs(ScheduleOutcome other) {
-    return breaches.stream().anyMatch(b -> sort(b).equals(sort(other.breaches.get(0))));
+  boolean passed() {
+    return violations.isEmpty();
   }
 
-  private static String sort(String breach) {
-    return breach.substring(0, breach.indexOf(':'));
+  /** Whether a violation is of the same kind as the first of another, failed, run. */
+  boolean failsAs(ScheduleOutcome other) {
+    Violation.Kind kind = other.violations.get(0).kind();
+    return violations.stream().anyMatch(violation -> violation.kind() == kind);
   }
 }
--- a/src/main/java/org/otterpond/simulation/ScheduleShrinker.java
+++ b/src/main/java/org/otterpond/simulation/ScheduleShrinker.java
@@ -2,43 +2,61 @@
 
 import java.util.function.Predicate;
 
-/** Cuts a failing schedule down: fewer faults and less time, as long as it fails. */
+/**
+ * Reduces a failing schedule: removes faults and then time, one at a time, as long as it still
+ * fails.
+ */
 final class ScheduleShrinker {
-  private static final int MOST_RUNS = 150;
-  private static final int STEP = 5;
+  private static final int MAX_RUNS = 150;
+  private static final int STEP_SECONDS = 5;
 
   private final Predicate<Schedule> fails;
   private int runs;
 
+  /**
+   * Creates a shrinker.
+   *
+   * @param fails runs a schedule and decides whether it fails in the same way
+   */
   ScheduleShrinker(Predicate<Schedule> fails) {
     this.fails = fails;
   }
 
+  /** The smallest failing schedule that was found. */
   Schedule shrink(Schedule failing) {
-    Schedule best = failing;
-    boolean shorter = true;
-    while (shorter && runs < MOST_RUNS) {
-      shorter = false;
-      for (int i = best.entries().size() - 1; i >= 0 && runs < MOST_RUNS; i--) {
-        Schedule fewer = best.without(i);
-        if (fails(fewer)) {
-          best = fewer;
-          shorter = true;
+    return removeTime(removeFaults(failing));
+  }
+
+  private Schedule removeFaults(Schedule failing) {
+    Schedule smallest = failing;
+    boolean removed = true;
+    while (removed && runs < MAX_RUNS) {
+      removed = false;
+      for (int i = smallest.faults().size() - 1; i >= 0 && runs < MAX_RUNS; i--) {
+        Schedule fewer = smallest.without(i);
+        if (stillFails(fewer)) {
+          smallest = fewer;
+          removed = true;
         }
       }
     }
-    while (best.seconds() > STEP && runs < MOST_RUNS) {
-      Schedule less = best.with(best.entries(), best.seconds() - STEP);
-      if (!fails(less)) {
+    return smallest;
+  }
+
+  private Schedule removeTime(Schedule failing) {
+    Schedule smallest = failing;
+    while (smallest.seconds() > STEP_SECONDS && runs < MAX_RUNS) {
+      Schedule shorter = smallest.with(smallest.faults(), smallest.seconds() - STEP_SECONDS);
+      if (!stillFails(shorter)) {
         break;
       }
-      best = less;
+      smallest = shorter;
     }
-    return best;
+    return smallest;
   }
 
-  private boolean fails(Schedule s) {
+  private boolean stillFails(Schedule schedule) {
     runs++;
-    return fails.test(s);
+    return fails.test(schedule);
   }
 }
--- a/src/main/java/org/otterpond/simulation/SimulateCommand.java
+++ b/src/main/java/org/otterpond/simulation/SimulateCommand.java
@@ -10,60 +10,70 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
-/** Plays random schedules of calls and faults on simulated fleets, and judges each. */
+/**
+ * The command {@code simulate}: runs random schedules of operations and faults on simulated
+ * clusters and checks each run. A failing schedule is reduced and printed as a line for {@code
+ * --replay}.
+ */
 @Command(
     name = "simulate",
-    description = "Plays random schedules of operations and faults on simulated fleets.",
+    description = "Runs random schedules of operations and faults on simulated clusters.",
     mixinStandardHelpOptions = true)
 public final class SimulateCommand implements Callable<Integer> {
-  private static final int BREACH = 1;
-  private static final int WRONG_USAGE = 2;
-  private static final int MOST_CORE = 9;
+  private static final int EXIT_PASSED = 0;
+  private static final int EXIT_FAILED = 1;
+  private static final int EXIT_USAGE = 2;
+  private static final int MAX_CORE_SIZE = 9;
+  private static final int MIN_NODES = 3;
+  private static final int MIN_SECONDS = 2;
 
   @CommandLine.Spec private CommandLine.Model.CommandSpec spec;
 
   @Option(
       names = "--seed",
       defaultValue = "1",
-      description = "The first schedule's; each more has the next. ${DEFAULT-VALUE} if left out.")
+      description =
+          "Seed of the first schedule, each other has the next; default ${DEFAULT-VALUE}.")
   private long seed;
 
   @Option(
       names = "--core",
       defaultValue = "5",
-      description = "Machines with a disk; ${DEFAULT-VALUE} if left out.")
-  private int core;
+      description = "Number of nodes with a disk; default ${DEFAULT-VALUE}.")
+  private int coreSize;
 
   @Option(
       names = "--faults",
       defaultValue = "1",
-      description = "Machines that may be lost at once; ${DEFAULT-VALUE} if left out.")
-  private int faults;
+      description = "Number of machines that may fail at once; default ${DEFAULT-VALUE}.")
+  private int maxFailures;
 
   @Option(
       names = "--edge",
       defaultValue = "4",
-      description = "Machines without; ${DEFAULT-VALUE} if left out.")
-  private int edge;
+      description = "Number of nodes without a disk; default ${DEFAULT-VALUE}.")
+  private int edgeSize;
 
   @Option(
       names = "--edge-faults",
       defaultValue = "0",
       description =
-          "Machines without a disk that may be lost beside them; 0, as if left out, counts all together.")
-  private int edgeFaults;
+          "Number of nodes without a disk that may fail beside them; 0, the default, counts all"
+              + " machines together.")
+  private int maxEdgeFailures;
 
   @Option(
       names = "--schedules",
       defaultValue = "10",
-      description = "How many; ${DEFAULT-VALUE} if left out.")
+      description = "Number of schedules; default ${DEFAULT-VALUE}.")
   private int schedules;
 
   @Option(
       names = "--seconds",
       defaultValue = "30",
       description =
-          "Simulated time of each, beside founding and healing; ${DEFAULT-VALUE} if left out.")
+          "Simulated time of each schedule, without bootstrap and recovery; default"
+              + " ${DEFAULT-VALUE}.")
   private int seconds;
 
   @Option(
@@ -71,126 +81,160 @@
       split = ",",
       paramLabel = "KIND",
       description =
-          "Faults to draw from: cut, freeze, kill, power, wipe, one-way, hold, disk; all if left out.")
+          "Faults to draw from: cut, freeze, kill, power, wipe, one-way, hold, disk; default all.")
   private List<String> kinds;
 
   @Option(
       names = "--no-storm",
       description =
-          "No order is sent again once more than 40 changes lie between; else, in"
-              + " one schedule of four, changes come in quick succession and however many may.")
-  private boolean noStorm;
+          "Never sends a write again once more than 40 others were confirmed; without this option"
+              + " one schedule in four sends writes in quick succession and again without limit.")
+  private boolean noWriteStorm;
 
   @Option(
       names = "--replay",
       paramLabel = "SCHEDULE",
-      description = "Plays one schedule, as it was printed.")
-  private String replay;
+      description = "Runs one schedule, given as the line that was printed for it.")
+  private String replayLine;
 
-  @Option(names = "--log", description = "Prints the nodes' events of a schedule that is replayed.")
-  private boolean log;
+  @Option(names = "--log", description = "Prints the event log of a replayed schedule.")
+  private boolean printsLog;
 
   @Override
   public Integer call() {
-    // One line a simulation is for the log of tests.
+    // The line that each simulation logs at its start is for the output of tests.
     System.setProperty("org.slf4j.simpleLogger.log.org.otterpond.simulation", "warn");
-    if (replay != null) {
+    if (replayLine != null) {
       return replay();
     }
-    if (core < 1
-        || core > MOST_CORE
-        || faults < 0
-        || faults >= core
-        || edge < 0
-        || edgeFaults < 0
-        || core + edge < 3
-        || seconds < 2
-        || schedules < 1) {
-      return wrong(
-          "--core: 1 to " + MOST_CORE + "; --faults: fewer; --seconds: 2 at least; three machines");
+    if (!hasValidSizes()) {
+      return usageError(
+          "--core: 1 to "
+              + MAX_CORE_SIZE
+              + "; --faults: fewer; --seconds: "
+              + MIN_SECONDS
+              + " at least; "
+              + MIN_NODES
+              + " nodes at least");
     }
-    Set<Fault.Kind> drawn = EnumSet.allOf(Fault.Kind.class);
-    if (kinds != null) {
-      drawn.clear();
-      try {
-        kinds.forEach(k -> drawn.add(Fault.Kind.of(k)));
-      } catch (IllegalArgumentException e) {
-        return wrong("--kinds: " + kinds);
-      }
+    Set<Fault.Kind> drawnKinds;
+    try {
+      drawnKinds = drawnKinds();
+    } catch (IllegalArgumentException e) {
+      return usageError("--kinds: " + kinds);
     }
-    ScheduleGenerator maker =
-        new ScheduleGenerator(core, faults, edge, edgeFaults, seconds, drawn, !noStorm);
+    return runAll(
+        new ScheduleGenerator(
+            new ScheduleGenerator.Settings(
+                coreSize,
+                maxFailures,
+                edgeSize,
+                maxEdgeFailures,
+                seconds,
+                drawnKinds,
+                !noWriteStorm)));
+  }
+
+  private boolean hasValidSizes() {
+    return coreSize >= 1
+        && coreSize <= MAX_CORE_SIZE
+        && maxFailures >= 0
+        && maxFailures < coreSize
+        && edgeSize >= 0
+        && maxEdgeFailures >= 0
+        && coreSize + edgeSize >= MIN_NODES
+        && seconds >= MIN_SECONDS
+        && schedules >= 1;
+  }
+
+  private Set<Fault.Kind> drawnKinds() {
+    if (kinds == null) {
+      return EnumSet.allOf(Fault.Kind.class);
+    }
+    Set<Fault.Kind> drawn = EnumSet.noneOf(Fault.Kind.class);
+    kinds.forEach(name -> drawn.add(Fault.Kind.of(name)));
+    return drawn;
+  }
+
+  private int runAll(ScheduleGenerator generator) {
     int failed = 0;
     for (int i = 0; i < schedules; i++) {
-      Schedule s = maker.make(seed + i);
-      ScheduleOutcome o = new Simulation(s).run();
-      print(s, o);
-      if (!o.sound()) {
+      Schedule schedule = generator.generate(seed + i);
+      ScheduleOutcome outcome = new Simulation(schedule).run();
+      print(schedule, outcome);
+      if (!outcome.passed()) {
         failed++;
-        Schedule least =
-            new ScheduleShrinker(fewer -> new Simulation(fewer).run().failsAs(o)).shrink(s);
-        ScheduleOutcome again = new Simulation(least).run();
-        out()
-            .println(
-                "event=schedule_shrunk seed=" + s.seed() + " faults=" + least.entries().size());
-        again.breaches().forEach(b -> out().println("  " + b));
-        out().println("  otterpond simulate --replay '" + least.line() + "'");
-        out().flush();
+        shrinkAndPrint(schedule, outcome);
       }
     }
-    out().println("event=simulated schedules=" + schedules + " failed=" + failed);
+    out().println("event=simulation_finished schedules=" + schedules + " failed=" + failed);
+    out().flush();
+    return failed > 0 ? EXIT_FAILED : EXIT_PASSED;
+  }
+
+  private void shrinkAndPrint(Schedule failing, ScheduleOutcome failure) {
+    Schedule smallest =
+        new ScheduleShrinker(fewer -> new Simulation(fewer).run().failsAs(failure)).shrink(failing);
+    out()
+        .println(
+            "event=schedule_shrunk seed=" + failing.seed() + " faults=" + smallest.faults().size());
+    printViolations(new Simulation(smallest).run());
+    out().println("  otterpond simulate --replay '" + smallest.line() + "'");
     out().flush();
-    return failed > 0 ? BREACH : 0;
   }
 
   private int replay() {
-    Schedule s;
+    Schedule schedule;
     try {
-      s = Schedule.parse(replay);
+      schedule = Schedule.parse(replayLine);
     } catch (JsonSyntaxException e) {
-      return wrong("--replay: " + e.getMessage());
+      return usageError("--replay: " + e.getMessage());
     }
-    ScheduleOutcome o = new Simulation(s).run();
-    if (log) {
-      o.log().forEach(out()::println);
+    ScheduleOutcome outcome = new Simulation(schedule).run();
+    if (printsLog) {
+      outcome.eventLog().forEach(out()::println);
     }
-    print(s, o);
-    return o.sound() ? 0 : BREACH;
+    print(schedule, outcome);
+    return outcome.passed() ? EXIT_PASSED : EXIT_FAILED;
   }
 
-  private int wrong(String what) {
+  private int usageError(String what) {
     spec.commandLine().getErr().println("otterpond: " + what);
-    return WRONG_USAGE;
+    return EXIT_USAGE;
   }
 
   private PrintWriter out() {
     return spec.commandLine().getOut();
   }
 
-  private void print(Schedule s, ScheduleOutcome o) {
+  private void print(Schedule schedule, ScheduleOutcome outcome) {
     out()
         .println(
-            "event=schedule seed="
-                + s.seed()
+            "event=schedule_finished seed="
+                + schedule.seed()
                 + " core="
-                + s.core()
-                + " losses="
-                + s.faults()
+                + schedule.coreSize()
+                + " max_failures="
+                + schedule.maxFailures()
                 + " faults="
-                + o.faultsPlayed()
-                + " calls="
-                + o.operations()
+                + outcome.faultsInjected()
+                + " operations="
+                + outcome.operations()
                 + " confirmed="
-                + o.confirmed()
-                + " refused="
-                + o.refused()
-                + " claims="
-                + o.grants()
-                + " leavings="
-                + o.leavings()
+                + outcome.confirmed()
+                + " rejected="
+                + outcome.rejected()
+                + " key_grants="
+                + outcome.keyGrants()
+                + " drains="
+                + outcome.drains()
                 + " verdict="
-                + (o.sound() ? "sound" : "breach"));
-    o.breaches().forEach(b -> out().println("  " + b));
+                + (outcome.passed() ? "passed" : "failed"));
+    printViolations(outcome);
     out().flush();
   }
+
+  private void printViolations(ScheduleOutcome outcome) {
+    outcome.violations().forEach(violation -> out().println("  " + violation));
+  }
 }
--- a/src/main/java/org/otterpond/simulation/SimulatedDataPlane.java
+++ b/src/main/java/org/otterpond/simulation/SimulatedDataPlane.java
@@ -10,61 +10,71 @@
 import org.otterpond.protocol.WireRecord;
 import org.otterpond.replication.GroupConfiguration;
 
-/** What one life of a simulated node is told, kept for those who look at it. */
+/** The data plane of one incarnation of a node: records what the control plane hands to it. */
 final class SimulatedDataPlane implements DataPlane {
+  private static final String PARTITION_KEY_PREFIX = "partition:";
+
   private final SimulatedNode node;
   private final InvariantChecker checker;
-  private final long life;
-  private final Consumer<Runnable> perform;
+  private final long incarnation;
+  private final Consumer<Runnable> ownerThread;
 
+  /**
+   * Creates the data plane.
+   *
+   * @param ownerThread runs a task on the owner thread of the node's process
+   */
   SimulatedDataPlane(
-      SimulatedNode node, InvariantChecker checker, long life, Consumer<Runnable> perform) {
+      SimulatedNode node,
+      InvariantChecker checker,
+      long incarnation,
+      Consumer<Runnable> ownerThread) {
     this.node = node;
     this.checker = checker;
-    this.life = life;
-    this.perform = perform;
+    this.incarnation = incarnation;
+    this.ownerThread = ownerThread;
   }
 
   @Override
-  public void configured(GatewayConfiguration c) {
-    checker.inForce(node.address, life, c.revision());
-    node.configuration = c;
-    node.onConfigured.accept(c);
+  public void configured(GatewayConfiguration configuration) {
+    checker.configurationActivated(node.address, incarnation, configuration.revision());
+    node.configuration = configuration;
+    node.onConfigured.accept(configuration);
   }
 
   @Override
-  public void worker(WorkerInstance v) {
-    node.workers.put(v.id(), v);
+  public void worker(WorkerInstance worker) {
+    node.workers.put(worker.id(), worker);
   }
 
   @Override
   public void fleet(Map<String, Integer> nodesInZone, int rank) {
-    // Only the data path uses it.
+    // Zone shares concern the load balancer, which is not simulated.
   }
 
   @Override
   public void assigned(WireRecord entry) {
-    node.ranges.take(entry);
-    if (entry.text("key").startsWith("partition:")) {
-      GroupConfiguration v = GroupConfiguration.of(entry);
-      node.partitions.put(v.group(), v);
+    node.keyRanges.take(entry);
+    if (entry.text("key").startsWith(PARTITION_KEY_PREFIX)) {
+      GroupConfiguration group = GroupConfiguration.of(entry);
+      node.partitions.put(group.group(), group);
     }
-    if (node.store != null) {
-      node.store.assigned(entry);
+    if (node.messageStore != null) {
+      node.messageStore.assigned(entry);
     }
   }
 
   @Override
-  public void message(String from, WireRecord f, Consumer<WireRecord> reply) {
-    if (node.store != null) {
-      node.store.message(from, f, reply);
+  public void message(String from, WireRecord message, Consumer<WireRecord> reply) {
+    if (node.messageStore != null) {
+      node.messageStore.message(from, message, reply);
     }
   }
 
   @Override
-  public void peerLost(String other) {
-    if (node.store != null) {
-      node.store.peerLost(other);
+  public void peerLost(String peer) {
+    if (node.messageStore != null) {
+      node.messageStore.peerLost(peer);
     }
   }
 
@@ -74,15 +84,18 @@
       String instance,
       String path,
       String body,
-      long timeout,
+      long timeoutMicros,
       Consumer<KeyRangeRuntime.Answer> answer) {
-    node.keyWorkers.call(
-        node.address, to, path, body, timeout, a -> perform.accept(() -> answer.accept(a)));
+    node.keyRangeWorkers.call(
+        new SimulatedWorkers.Call(node.address, to, path, body, timeoutMicros),
+        result -> ownerThread.accept(() -> answer.accept(result)));
   }
 
   @Override
   public List<WireRecord> heat() {
-    return node.keyWorkers == null ? List.of() : node.keyWorkers.heat(node.address);
+    return node.keyRangeWorkers == null
+        ? List.of()
+        : node.keyRangeWorkers.takeLoadReport(node.address);
   }
 
   @Override
--- a/src/main/java/org/otterpond/simulation/SimulatedDelivery.java
+++ b/src/main/java/org/otterpond/simulation/SimulatedDelivery.java
@@ -11,112 +11,169 @@
 import org.otterpond.messaging.MessageStore;
 
 /**
- * Delivers to workers who succeed mostly, fail at times, and whose answers are lost now and then.
+ * Delivers the messages of one storage node to simulated workers, most of which succeed; some
+ * reject the message or fail, and some answers are lost.
  */
 final class SimulatedDelivery implements DeliveryListener {
-  private static final int MOST_ATTEMPTS = 3;
+  private static final int MAX_ATTEMPTS = 3;
+  private static final int MIN_PICKUP_MICROS = 500;
+  private static final int PICKUP_SPREAD_MICROS = 3_000;
+  private static final long LATENCY_MICROS = 300;
+  private static final long MIN_EXECUTION_MICROS = 5_000;
+  private static final int EXECUTION_SPREAD_MICROS = 40_000;
+  private static final long RETRY_AFTER_FAILURE_MICROS = 20_000;
+  private static final long RETRY_AFTER_TIMEOUT_MICROS = 50_000;
+
+  /** What becomes of one attempt. */
+  private enum AttemptOutcome {
+    SUCCEEDED,
+    SUCCEEDED_ANSWER_LOST,
+    REJECTED,
+    FAILED,
+    /** The worker has not executed the message, and its node does not learn of that. */
+    NOT_EXECUTED_ANSWER_LOST;
+
+    static AttemptOutcome ofPercentile(int percentile) {
+      if (percentile < 85) {
+        return SUCCEEDED;
+      }
+      if (percentile < 88) {
+        return SUCCEEDED_ANSWER_LOST;
+      }
+      if (percentile < 90) {
+        return REJECTED;
+      }
+      return percentile < 96 ? FAILED : NOT_EXECUTED_ANSWER_LOST;
+    }
+  }
 
   private final SimulatedWorld world;
   private final MessageInvariantChecker checker;
-  private final Consumer<Runnable> perform;
-  MessageStore store;
-  private final Map<MessagePartition, Integer> underWay = new HashMap<>();
-  private final Map<MessagePartition, Runnable> quieting = new HashMap<>();
-  private final Set<Message> waiting = new HashSet<>();
+  private final Consumer<Runnable> ownerThread;
+
+  /** The store whose messages are delivered; set once, right after it has been created. */
+  MessageStore messageStore;
+
+  private final Map<MessagePartition, Integer> inFlight = new HashMap<>();
+  private final Map<MessagePartition, Runnable> stopping = new HashMap<>();
+  private final Set<Message> ready = new HashSet<>();
 
+  /**
+   * Creates a delivery.
+   *
+   * @param ownerThread runs a task on the owner thread of the node's process
+   */
   SimulatedDelivery(
-      SimulatedWorld world, MessageInvariantChecker checker, Consumer<Runnable> perform) {
+      SimulatedWorld world, MessageInvariantChecker checker, Consumer<Runnable> ownerThread) {
     this.world = world;
     this.checker = checker;
-    this.perform = perform;
+    this.ownerThread = ownerThread;
   }
 
   @Override
-  public void ready(MessagePartition queue, Message m) {
-    waiting.add(m);
-    world.at(
-        500 + world.random.nextInt(3_000),
+  public void ready(MessagePartition partition, Message message) {
+    ready.add(message);
+    world.schedule(
+        MIN_PICKUP_MICROS + world.random.nextInt(PICKUP_SPREAD_MICROS),
         () ->
-            perform.accept(
+            ownerThread.accept(
                 () -> {
-                  if (waiting.remove(m)) {
-                    send(queue, m);
+                  if (ready.remove(message)) {
+                    deliver(partition, message);
                   }
                 }));
   }
 
-  private void send(MessagePartition queue, Message m) {
-    if (!queue.serving()) {
-      queue.later(m, 0);
+  private void deliver(MessagePartition partition, Message message) {
+    if (!partition.serving()) {
+      partition.later(message, 0);
       return;
     }
-    underWay.merge(queue, 1, Integer::sum);
-    queue.whole(
-        m,
-        whole -> {
-          if (whole == null) {
-            checker.breach("bytes of " + m.id() + " cannot be read");
-            return;
+    inFlight.merge(partition, 1, Integer::sum);
+    partition.whole(
+        message,
+        body -> {
+          if (body == null) {
+            checker.addViolation("bytes of " + message.id() + " cannot be read");
+          } else {
+            attempt(partition, message);
           }
-          int draw = world.random.nextInt(100);
-          long run = 5_000 + world.random.nextInt(40_000);
-          world.at(
-              300,
+        });
+  }
+
+  private void attempt(MessagePartition partition, Message message) {
+    AttemptOutcome outcome = AttemptOutcome.ofPercentile(world.random.nextInt(100));
+    long executionMicros = MIN_EXECUTION_MICROS + world.random.nextInt(EXECUTION_SPREAD_MICROS);
+    String result = "seal-" + message.id() + "-" + executionMicros;
+    world.schedule(
+        LATENCY_MICROS,
+        () -> {
+          checker.executionStarted(message.id());
+          world.schedule(
+              executionMicros,
               () -> {
-                checker.began(m.id());
-                world.at(
-                    run,
-                    () -> {
-                      boolean success = draw < 88;
-                      if (success) {
-                        checker.succeeded(m.id(), "seal-" + m.id() + "-" + run);
-                      } else if (draw < 90) {
-                        checker.refusedForGood(m.id());
-                      } else if (draw < 96) {
-                        checker.failed(m.id(), MOST_ATTEMPTS);
-                      }
-                      world.at(
-                          300,
-                          () ->
-                              perform.accept(
-                                  () -> told(queue, m, draw, "seal-" + m.id() + "-" + run)));
-                    });
+                reportExecution(message, outcome, result);
+                world.schedule(
+                    LATENCY_MICROS,
+                    () -> ownerThread.accept(() -> answered(partition, message, outcome, result)));
               });
         });
   }
 
-  private void told(MessagePartition queue, Message m, int draw, String seal) {
-    if (draw < 85) {
-      checker.read(m.id());
-      store.ended(queue, m, Message.State.COMPLETED, seal);
-    } else if (draw >= 88 && draw < 90) {
-      store.ended(queue, m, Message.State.DEAD_LETTER, null);
-    } else if (draw >= 90 && draw < 96) {
-      store.tried(queue, m);
-      if (m.attempts() >= MOST_ATTEMPTS) {
-        store.ended(queue, m, Message.State.DEAD_LETTER, null);
-      } else {
-        queue.later(m, 20_000);
+  private void reportExecution(Message message, AttemptOutcome outcome, String result) {
+    switch (outcome) {
+      case SUCCEEDED, SUCCEEDED_ANSWER_LOST -> checker.executionSucceeded(message.id(), result);
+      case REJECTED -> checker.executionRejected(message.id());
+      case FAILED -> checker.executionFailed(message.id(), MAX_ATTEMPTS);
+      case NOT_EXECUTED_ANSWER_LOST -> {
+        // No worker knows of the message.
       }
-    } else {
-      // Silence: it may have run.
-      queue.later(m, 50_000);
+      default -> throw new AssertionError(outcome);
     }
-    if (underWay.merge(queue, -1, Integer::sum) == 0) {
-      underWay.remove(queue);
-      Runnable quiet = quieting.remove(queue);
-      if (quiet != null) {
-        quiet.run();
+  }
+
+  private void answered(
+      MessagePartition partition, Message message, AttemptOutcome outcome, String result) {
+    switch (outcome) {
+      case SUCCEEDED -> {
+        checker.successAnswered(message.id());
+        messageStore.ended(partition, message, Message.State.COMPLETED, result);
       }
+      case REJECTED -> messageStore.ended(partition, message, Message.State.DEAD_LETTER, null);
+      case FAILED -> attemptFailed(partition, message);
+      case SUCCEEDED_ANSWER_LOST, NOT_EXECUTED_ANSWER_LOST ->
+          partition.later(message, RETRY_AFTER_TIMEOUT_MICROS);
+      default -> throw new AssertionError(outcome);
+    }
+    attemptEnded(partition);
+  }
+
+  private void attemptFailed(MessagePartition partition, Message message) {
+    messageStore.tried(partition, message);
+    if (message.attempts() >= MAX_ATTEMPTS) {
+      messageStore.ended(partition, message, Message.State.DEAD_LETTER, null);
+    } else {
+      partition.later(message, RETRY_AFTER_FAILURE_MICROS);
+    }
+  }
+
+  private void attemptEnded(MessagePartition partition) {
+    if (inFlight.merge(partition, -1, Integer::sum) > 0) {
+      return;
+    }
+    inFlight.remove(partition);
+    Runnable stopped = stopping.remove(partition);
+    if (stopped != null) {
+      stopped.run();
     }
   }
 
   @Override
-  public void stop(MessagePartition queue, Runnable quiet) {
-    if (underWay.containsKey(queue)) {
-      quieting.put(queue, quiet);
+  public void stop(MessagePartition partition, Runnable stopped) {
+    if (inFlight.containsKey(partition)) {
+      stopping.put(partition, stopped);
     } else {
-      quiet.run();
+      stopped.run();
     }
   }
 }
--- a/src/main/java/org/otterpond/simulation/SimulatedDisk.java
+++ b/src/main/java/org/otterpond/simulation/SimulatedDisk.java
@@ -4,28 +4,39 @@
 import java.util.List;
 import java.util.Random;
 import java.util.function.Consumer;
-import org.otterpond.protocol.ProtocolException;
 import org.otterpond.protocol.WireRecord;
 import org.otterpond.protocol.WireRecordCodec;
 
 /**
- * A disk with the journal's meaning: what was synced stays, of the rest some head may stay after a
- * loss of power.
+ * The disk of a core node with the guarantees of the write-ahead log: a loss of power keeps all
+ * records that were synced and any prefix of those that were not.
  */
 final class SimulatedDisk {
+  private static final long WRITE_MICROS = 300;
+  private static final long SYNC_MICROS = 1_500;
+  private static final long STALL_POLL_MICROS = 50_000;
+  private static final long FAILURE_MICROS = 1_000;
+  private static final long UNSYNCED_REPLY_MICROS = 100;
+
   private final SimulatedWorld world;
+
+  /** The identity of the disk; an empty disk has a new one. */
   String id;
+
+  /** Injected fault: writes are not completed until it ends. */
   boolean stalled;
-  boolean refusing;
 
-  /**
-   * A deliberate fault: answers before anything is safe, so that the checker can be seen to notice.
-   */
-  boolean lying;
+  /** Injected fault: writes fail. */
+  boolean failsWrites;
+
+  /** Defect planted by a test of the checkers: writes are acknowledged before they are synced. */
+  boolean acknowledgesBeforeSync;
 
   private final List<byte[]> records = new ArrayList<>();
-  private int durable;
-  private long busyUntil;
+  private int syncedRecords;
+  private long busyUntilMicros;
+
+  /** Grows whenever the process or the data is lost, so that older writes are never completed. */
   private int generation;
 
   SimulatedDisk(SimulatedWorld world) {
@@ -33,78 +44,71 @@
     wipe();
   }
 
+  /** Replaces the disk by an empty one. */
   void wipe() {
     records.clear();
-    durable = 0;
+    syncedRecords = 0;
     generation++;
     id = Long.toHexString(world.random.nextLong() >>> 1);
   }
 
-  boolean blank() {
+  boolean isEmpty() {
     return records.isEmpty();
   }
 
-  void append(WireRecord f, Consumer<Boolean> done) {
-    int g = generation;
-    if (refusing) {
-      world.at(1_000, () -> done.accept(false));
+  /** Appends a record; the callback says whether it is durable. */
+  void append(WireRecord record, Consumer<Boolean> done) {
+    if (failsWrites) {
+      world.schedule(FAILURE_MICROS, () -> done.accept(false));
       return;
     }
-    records.add(WireRecordCodec.encode(f));
-    int upTo = records.size();
-    if (lying) {
-      world.at(100, () -> done.accept(true));
+    records.add(WireRecordCodec.encode(record));
+    if (acknowledgesBeforeSync) {
+      world.schedule(UNSYNCED_REPLY_MICROS, () -> done.accept(true));
       return;
     }
-    busyUntil = Math.max(busyUntil, world.now()) + 300;
-    finish(g, upTo, done);
+    busyUntilMicros = Math.max(busyUntilMicros, world.now()) + WRITE_MICROS;
+    sync(generation, records.size(), done);
   }
 
-  private void finish(int g, int upTo, Consumer<Boolean> done) {
-    world.at(
-        stalled ? 50_000 : busyUntil - world.now() + 1_500,
+  private void sync(int writeGeneration, int recordCount, Consumer<Boolean> done) {
+    world.schedule(
+        stalled ? STALL_POLL_MICROS : busyUntilMicros - world.now() + SYNC_MICROS,
         () -> {
-          if (g != generation) {
+          if (writeGeneration != generation) {
             return;
           }
           if (stalled) {
-            finish(g, upTo, done);
+            sync(writeGeneration, recordCount, done);
             return;
           }
-          durable = Math.max(durable, upTo);
+          syncedRecords = Math.max(syncedRecords, recordCount);
           done.accept(true);
         });
   }
 
+  /** Drops a random number of the newest records that were not synced. */
   void losePower() {
-    Random r = world.random;
-    int keep = durable + (records.size() > durable ? r.nextInt(records.size() - durable + 1) : 0);
-    if (lying) {
-      keep = durable;
-    }
-    while (records.size() > keep) {
-      records.remove(records.size() - 1);
+    Random random = world.random;
+    int unsynced = records.size() - syncedRecords;
+    int kept = syncedRecords + (unsynced > 0 ? random.nextInt(unsynced + 1) : 0);
+    if (acknowledgesBeforeSync) {
+      kept = syncedRecords;
     }
-    durable = records.size();
+    records.subList(kept, records.size()).clear();
+    syncedRecords = records.size();
     generation++;
     stalled = false;
   }
 
-  /** The process died, the machine did not: what was written is there. */
-  void processDied() {
-    durable = lying ? durable : records.size();
+  /** Keeps everything that was written, as the operating system goes on running. */
+  void processKilled() {
+    syncedRecords = acknowledgesBeforeSync ? syncedRecords : records.size();
     generation++;
   }
 
+  /** Reads all records in the order in which they were appended. */
   List<WireRecord> read() {
-    List<WireRecord> out = new ArrayList<>();
-    for (byte[] b : records) {
-      try {
-        out.add(WireRecordCodec.decode(b, 0, b.length));
-      } catch (ProtocolException e) {
-        throw new IllegalStateException(e);
-      }
-    }
-    return out;
+    return records.stream().map(EncodedRecords::decode).toList();
   }
 }
--- a/src/main/java/org/otterpond/simulation/SimulatedNode.java
+++ b/src/main/java/org/otterpond/simulation/SimulatedNode.java
@@ -1,7 +1,5 @@
 package org.otterpond.simulation;
 
-import java.util.ArrayDeque;
-import java.util.Deque;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
@@ -19,328 +17,264 @@
 import org.otterpond.protocol.WireRecord;
 import org.otterpond.replication.GroupConfiguration;
 import org.otterpond.replication.ReplicaGroupTimeouts;
-import org.otterpond.runtime.NodeRuntime;
 
-/** One machine with one node on it, driving the same state machines as the daemon. */
+/**
+ * One machine and the life cycle of the process on it, which runs the same state machines as the
+ * production server.
+ */
 final class SimulatedNode {
+  private static final long NODE_LEASE_MICROS = 1_500_000;
+  private static final MessageStoreSettings MESSAGE_STORE_SETTINGS =
+      new MessageStoreSettings(300_000_000, 30_000_000, 100_000, ReplicaGroupTimeouts.standard());
+
   private final SimulatedWorld world;
   private final InvariantChecker checker;
+  private final List<String> seeds;
   final String address;
   String zone = "z";
 
-  /** Decides only how far away others are. */
+  /** Decides only the latency to other nodes. */
   String region = "r";
 
+  /** The disk of a core node, null on all others. */
   final SimulatedDisk disk;
-  private final List<String> seeds;
 
-  /** What the deployment says may be lost. */
-  FaultTolerance losses;
+  /** The disk of a storage node, null on all others. */
+  SimulatedSegmentStore segmentStore;
 
+  FaultTolerance faultTolerance;
+
+  /** Whether the node may take part in the bootstrap of the core. */
   private boolean firstStart = true;
-  private SimulatedRuntime runtime;
-  ControlPlaneAgent node;
-  final Map<String, WorkerInstance> workers = new HashMap<>();
-  GatewayConfiguration configuration;
 
-  /** Told of every configuration that comes into force here. */
-  Consumer<GatewayConfiguration> onConfigured = c -> {};
+  /** Whether the machine has no power, so that not even a refused connection comes back. */
+  private boolean poweredOff;
 
-  /** What this machine stores of messages, if it is one that does. */
-  SimulatedSegmentStore storeDisk;
+  /** Whether a message of the node to itself skips the network, as in the production server. */
+  boolean localDelivery;
 
-  MessageStore store;
-  SimulatedDelivery delivery;
-  MessageInvariantChecker messages;
-  SimulatedWorkers keyWorkers;
-  final KeyRangeTable ranges = new KeyRangeTable();
-  final Map<Integer, GroupConfiguration> partitions = new HashMap<>();
+  /** The least time that work off the owner thread takes, in microseconds. */
+  long backgroundWorkMicros;
 
-  /**
-   * Whether what the node sends to itself arrives at once, as in the daemon, and not by the
-   * network.
-   */
-  boolean selfAtOnce;
+  /** Notified of every configuration that becomes active on this node. */
+  Consumer<GatewayConfiguration> onConfigured = configuration -> {};
+
+  /** Checks the deliveries of a storage node. */
+  MessageInvariantChecker messageChecker;
 
-  /** How long work takes that is done beside the owner thread, at least. */
-  long readingMicros;
+  /** The workers that this node calls as owner of their key ranges, or null. */
+  SimulatedWorkers keyRangeWorkers;
 
-  private boolean frozen;
+  private SimulatedRuntime runtime;
 
-  /** Of a process that wakes: what it has put off to the end of its turn. */
-  private Deque<Runnable> soon;
+  /** The state machine of the running process, null while there is none. */
+  ControlPlaneAgent agent;
 
-  private boolean dark;
-  private final PausedTasks frozenTasks = new PausedTasks();
+  MessageStore messageStore;
+  GatewayConfiguration configuration;
+  final Map<String, WorkerInstance> workers = new HashMap<>();
+  final KeyRangeTable keyRanges = new KeyRangeTable();
+  final Map<Integer, GroupConfiguration> partitions = new HashMap<>();
 
+  /**
+   * Creates a machine whose process does not run yet.
+   *
+   * @param disk the disk of a core node, or null
+   * @param seeds the addresses at which a new node looks for the core
+   * @param maxFailures how many machines may fail at once
+   */
   SimulatedNode(
-      SimulatedWorld world,
-      InvariantChecker checker,
+      SimulatedCluster cluster,
       String address,
-      boolean withDisk,
+      SimulatedDisk disk,
       List<String> seeds,
-      int faults) {
-    this.losses = FaultTolerance.ofMachines(faults);
-    this.world = world;
-    this.checker = checker;
+      int maxFailures) {
+    this.world = cluster.world;
+    this.checker = cluster.checker;
     this.address = address;
-    this.disk = withDisk ? new SimulatedDisk(world) : null;
+    this.disk = disk;
     this.seeds = seeds;
+    this.faultTolerance = FaultTolerance.ofMachines(maxFailures);
   }
 
-  boolean up() {
-    return node != null;
+  /** Whether a process runs, even if it is frozen. */
+  boolean isRunning() {
+    return agent != null;
   }
 
-  /**
-   * Whether the machine runs but no process listens: a connection is refused, so the sender knows.
-   */
-  boolean refuses() {
-    return node == null && !dark;
-  }
-
-  void peerLost(String address) {
-    peerLost(address, true);
+  boolean isFrozen() {
+    return isRunning() && runtime.isFrozen();
   }
 
-  /** A connection to another node never came up, or was closed from there. */
-  void peerLost(String address, boolean neverUp) {
-    if (node != null) {
-      SimulatedRuntime d = runtime;
-      d.perform(address, () -> node.peerLost(address, neverUp));
-    }
-  }
-
-  boolean frozen() {
-    return frozen;
+  /** Whether the process runs and takes itself for the primary. */
+  boolean isPrimary() {
+    return isRunning() && !isFrozen() && agent.leading();
   }
 
-  boolean leading() {
-    return node != null && !frozen && node.leading();
+  /** Whether the machine has power but no process, so that a sender's connection is refused. */
+  boolean refusesConnections() {
+    return !isRunning() && !poweredOff;
   }
 
+  /** Starts the process, or does nothing if it runs. */
   void start() {
-    if (node != null) {
+    if (isRunning()) {
       return;
     }
-    dark = false;
-    runtime = new SimulatedRuntime();
+    poweredOff = false;
+    runtime = new SimulatedRuntime(world, this, checker);
     workers.clear();
     partitions.clear();
     configuration = null;
-    long life = world.random.nextLong() >>> 1;
-    boolean blank = disk != null && disk.blank();
-    checker.started(address, life);
-    node =
+    startAgent();
+    if (segmentStore != null) {
+      startMessageStore();
+    }
+    agent.start();
+  }
+
+  private void startAgent() {
+    long incarnation = world.random.nextLong() >>> 1;
+    boolean emptyDisk = disk != null && disk.isEmpty();
+    checker.processStarted(incarnation);
+    NodeIdentity identity =
+        new NodeIdentity(
+            address,
+            address,
+            zone,
+            disk == null ? null : disk.id,
+            emptyDisk,
+            firstStart,
+            seeds,
+            incarnation,
+            segmentStore == null ? null : segmentStore.id);
+    agent =
         new ControlPlaneAgent(
             runtime,
-            new NodeIdentity(
-                address,
-                address,
-                zone,
-                disk == null ? null : disk.id,
-                blank,
-                firstStart,
-                seeds,
-                life,
-                storeDisk == null ? null : storeDisk.id),
-            new SimulatedDataPlane(this, checker, life, runtime::perform),
+            identity,
+            new SimulatedDataPlane(this, checker, incarnation, runtime::perform),
             new ControlPlaneSettings(
-                1_500_000, InvariantChecker.WINDOW, losses, SimulatedCluster.QUOTA));
-    if (disk != null && !blank) {
-      node.replay(disk.read());
+                NODE_LEASE_MICROS,
+                InvariantChecker.KEY_RETENTION_MICROS,
+                faultTolerance,
+                TenantClients.QUOTA));
+    if (disk != null && !emptyDisk) {
+      agent.replay(disk.read());
     }
     firstStart = false;
-    if (storeDisk != null) {
-      SimulatedRuntime d = runtime;
-      delivery = new SimulatedDelivery(world, messages, d::perform);
-      store =
-          new MessageStore(
-              runtime,
-              storeDisk.id,
-              address,
-              storeDisk.attached(d::perform),
-              new MessageStoreSettings(
-                  300_000_000, 30_000_000, 100_000, ReplicaGroupTimeouts.standard()),
-              delivery);
-      delivery.store = store;
-      store.fit(node);
-      storeDisk.read().forEach((place, f) -> store.replay(f, place));
-      store.start();
-    }
-    node.start();
   }
 
-  /** A machine added later never takes part in the founding. */
-  void joinLate() {
+  private void startMessageStore() {
+    SimulatedDelivery delivery = new SimulatedDelivery(world, messageChecker, runtime::perform);
+    messageStore =
+        new MessageStore(
+            runtime,
+            segmentStore.id,
+            address,
+            segmentStore.attach(runtime::perform),
+            MESSAGE_STORE_SETTINGS,
+            delivery);
+    delivery.messageStore = messageStore;
+    messageStore.fit(agent);
+    segmentStore.read().forEach((offset, record) -> messageStore.replay(record, offset));
+    messageStore.start();
+  }
+
+  /** Starts a machine that was added later and so never takes part in the bootstrap. */
+  void startWithoutBootstrap() {
     firstStart = false;
     start();
   }
 
+  /** Kills the process; what it has written stays on the disk. */
   void kill() {
-    if (node != null) {
-      runtime.alive = false;
-      node = null;
-      frozen = false;
-      frozenTasks.clear();
-      if (disk != null) {
-        disk.processDied();
-      }
-      if (storeDisk != null) {
-        storeDisk.processDied();
-      }
+    if (!isRunning()) {
+      return;
+    }
+    endProcess();
+    if (disk != null) {
+      disk.processKilled();
+    }
+    if (segmentStore != null) {
+      segmentStore.processKilled();
     }
   }
 
+  /** Cuts the power: the process ends, and writes that were not synced may be lost. */
   void losePower() {
-    dark = true;
+    poweredOff = true;
     if (disk != null) {
       disk.losePower();
     }
-    if (storeDisk != null) {
-      storeDisk.losePower();
+    if (segmentStore != null) {
+      segmentStore.losePower();
     }
-    if (node != null) {
-      runtime.alive = false;
-      node = null;
-      frozen = false;
-      frozenTasks.clear();
+    if (isRunning()) {
+      endProcess();
     }
   }
 
-  void freeze() {
-    frozen = node != null;
+  private void endProcess() {
+    runtime.kill();
+    agent = null;
   }
 
-  /** Wakes the process, which finds everything in the order in which it came. */
-  void thaw() {
-    frozen = false;
-    frozenTasks.inOrder().forEach(Runnable::run);
+  /** Stops the process until it is resumed. */
+  void freeze() {
+    if (isRunning()) {
+      runtime.freeze();
+    }
   }
 
-  /**
-   * Wakes the process, which reads its sockets before it looks at its timers, or the other way
-   * round. It works off what it finds in turns; what it puts off to "soon", messages to itself
-   * among it, runs at the end of each.
-   */
-  void thaw(boolean socketsFirst, Random random) {
-    if (frozen) {
-      turn(runtime, new ArrayDeque<>(frozenTasks.apart(socketsFirst, random)), random);
+  /** Resumes a frozen process, which finds everything in the order of its arrival. */
+  void resume() {
+    if (isRunning()) {
+      runtime.resume();
     }
   }
 
-  private void turn(SimulatedRuntime life, Deque<Runnable> left, Random random) {
-    if (runtime != life || !life.alive) {
-      return;
-    }
-    frozen = false;
-    soon = new ArrayDeque<>();
-    for (int n = 1 + random.nextInt(8); n > 0 && !left.isEmpty(); n--) {
-      left.poll().run();
-    }
-    for (int n = soon.size(); n > 0; n--) {
-      soon.poll().run();
-    }
-    left.addAll(soon);
-    soon = null;
-    if (!left.isEmpty()) {
-      // What arrives meanwhile waits behind what is there.
-      frozen = true;
-      world.at(
-          20,
-          () -> {
-            left.addAll(frozenTasks.inOrder());
-            turn(life, left, random);
-          });
+  /** Resumes a frozen process, which reads its sockets before its timers or after them. */
+  void resume(boolean socketsFirst, Random random) {
+    if (isFrozen()) {
+      runtime.resume(socketsFirst, random);
     }
   }
 
-  /** Does something on the node's own thread: later, if it is frozen. */
+  /** Runs a task on the owner thread of the process, if there is one. */
   void perform(Runnable task) {
-    if (node != null) {
-      runtime.perform(task);
-    }
+    perform(null, task);
   }
 
-  /** Does what a caller asks on a connection of its own. */
-  void call(String connection, Runnable task) {
-    if (node != null) {
+  /** Runs a task that a caller's own connection brings. */
+  void perform(String connection, Runnable task) {
+    if (isRunning()) {
       runtime.perform(connection, task);
     }
   }
 
-  void deliver(String from, WireRecord f) {
-    if (node == null) {
-      return;
-    }
-    SimulatedRuntime d = runtime;
-    d.perform(from, () -> node.onMessage(from, f));
+  /** Hands a message from another node to the process. */
+  void deliver(String from, WireRecord message) {
+    perform(from, () -> agent.onMessage(from, message));
   }
 
-  private final class SimulatedRuntime implements NodeRuntime {
-    private boolean alive = true;
-
-    private void perform(Runnable task) {
-      perform(null, task);
-    }
-
-    /** What came on a connection, or, where that is null, of the process's own. */
-    private void perform(String connection, Runnable task) {
-      if (!alive) {
-        return;
-      }
-      if (frozen) {
-        frozenTasks.add(connection, () -> perform(connection, task));
-      } else {
-        task.run();
-        if (node != null && alive && node.leading()) {
-          checker.leads(address, node.known().epoch());
-        }
-      }
-    }
-
-    @Override
-    public long now() {
-      return world.now();
-    }
-
-    @Override
-    public void send(String to, WireRecord message) {
-      if (selfAtOnce && to.equals(address)) {
-        after(0, () -> node.onMessage(address, message));
-      } else {
-        world.send(address, to, message);
-      }
-    }
-
-    @Override
-    public void journal(WireRecord record, Consumer<Boolean> done) {
-      disk.append(record, ok -> perform(() -> done.accept(ok)));
-    }
-
-    @Override
-    public void after(long delay, Runnable task) {
-      if (delay == 0 && soon != null) {
-        soon.add(() -> perform(task));
-      } else {
-        world.at(delay, () -> perform(task));
-      }
-    }
-
-    @Override
-    public void apart(Runnable work, Runnable then) {
-      work.run();
-      after(readingMicros + world.random.nextInt(20_000), then);
-    }
+  /** Notifies the process that a connection to another node could not be opened. */
+  void peerLost(String peer) {
+    peerLost(peer, true);
+  }
 
-    @Override
-    public long random(long bound) {
-      return Math.floorMod(world.random.nextLong(), bound);
-    }
+  /**
+   * Notifies the process that a connection to another node is lost.
+   *
+   * @param neverOpened whether it could not be opened, or else was closed by the other node
+   */
+  void peerLost(String peer, boolean neverOpened) {
+    perform(peer, () -> agent.peerLost(peer, neverOpened));
+  }
 
-    @Override
-    public void event(String line) {
-      world.event(address, line);
+  /** Reports this node to the checker if it takes itself for the primary. */
+  void reportPrimary(InvariantChecker observer) {
+    if (agent != null && agent.leading()) {
+      observer.primaryObserved(address, agent.known().epoch());
     }
   }
 }
--- a/src/main/java/org/otterpond/simulation/SimulatedProducers.java
+++ b/src/main/java/org/otterpond/simulation/SimulatedProducers.java
@@ -3,155 +3,196 @@
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.List;
-import java.util.Map;
 import org.otterpond.protocol.WireRecord;
 import org.otterpond.replication.GroupConfiguration;
 
 /**
- * Clients that hand messages in at any edge node, and ask for them at the end; as the intake does
- * it.
+ * Clients that send messages to any edge node, as the ingest of a production node does, and query
+ * the state of every accepted message at the end.
  */
 final class SimulatedProducers {
-  private static final int LINES = 6;
-  private static final long PATIENCE = 1_500_000;
+  private static final int ORDERING_KEYS = 6;
+  private static final int MIN_PAUSE_MICROS = 4_000;
+  private static final int PAUSE_SPREAD_MICROS = 12_000;
+  private static final int MAX_DELAY_MICROS = 2_000_000;
+  private static final int MAX_PADDING = 400;
+  private static final long RETENTION_MICROS = 600_000_000;
+  private static final long INGEST_DEADLINE_MICROS = 1_500_000;
+  private static final long INGEST_TIMEOUT_MICROS = 600_000;
+  private static final long INGEST_RETRY_MICROS = 40_000;
+  private static final long QUERY_TIMEOUT_MICROS = 500_000;
+  private static final long QUERY_RETRY_MICROS = 100_000;
+  private static final int QUERY_RETRIES = 30;
 
-  private final SimulatedCluster fleet;
+  private final SimulatedCluster cluster;
   private final SimulatedWorld world;
   private final MessageInvariantChecker checker;
-  private boolean sending = true;
-  private int number;
-  private final List<String> operations = new ArrayList<>();
-  int refused;
-
-  SimulatedProducers(SimulatedCluster fleet, MessageInvariantChecker checker) {
-    this.fleet = fleet;
-    this.world = fleet.world;
+  private final List<String> idempotencyKeys = new ArrayList<>();
+  private boolean running = true;
+
+  /** Numbers messages and idempotency keys alike. */
+  private int lastNumber;
+
+  SimulatedProducers(SimulatedCluster cluster, MessageInvariantChecker checker) {
+    this.cluster = cluster;
+    this.world = cluster.world;
     this.checker = checker;
   }
 
   void start() {
-    world.at(0, this::next);
+    world.schedule(0, this::sendNext);
   }
 
   void stop() {
-    sending = false;
+    running = false;
   }
 
-  private void next() {
-    if (!sending) {
+  private void sendNext() {
+    if (!running) {
+      return;
+    }
+    world.schedule(MIN_PAUSE_MICROS + world.random.nextInt(PAUSE_SPREAD_MICROS), this::sendNext);
+    SimulatedNode edge = cluster.randomRunningNode();
+    if (edge == null || edge.isFrozen()) {
       return;
     }
-    world.at(4_000 + world.random.nextInt(12_000), this::next);
-    SimulatedNode edge = fleet.anyUp();
-    if (edge == null || edge.frozen()) {
+    if (world.random.nextInt(3) == 0) {
+      String orderingKey = "line" + world.random.nextInt(ORDERING_KEYS);
+      edge.perform(() -> send(edge, orderingKey, null, 0));
       return;
     }
-    boolean ordered = world.random.nextInt(3) == 0;
-    String line = ordered ? "line" + world.random.nextInt(LINES) : null;
-    boolean repeat = !ordered && !operations.isEmpty() && world.random.nextInt(6) == 0;
-    String operation =
-        ordered
-            ? null
-            : repeat ? operations.get(world.random.nextInt(operations.size())) : "op" + ++number;
-    long delay = !ordered && world.random.nextInt(4) == 0 ? world.random.nextInt(2_000_000) : 0;
-    if (operation != null && !repeat) {
-      operations.add(operation);
+    String idempotencyKey = newOrRepeatedKey();
+    long delayMicros = world.random.nextInt(4) == 0 ? world.random.nextInt(MAX_DELAY_MICROS) : 0;
+    edge.perform(() -> send(edge, null, idempotencyKey, delayMicros));
+  }
+
+  private String newOrRepeatedKey() {
+    if (!idempotencyKeys.isEmpty() && world.random.nextInt(6) == 0) {
+      return idempotencyKeys.get(world.random.nextInt(idempotencyKeys.size()));
     }
-    edge.perform(() -> hand(edge, line, operation, delay));
+    String key = "op" + ++lastNumber;
+    idempotencyKeys.add(key);
+    return key;
   }
 
-  private void hand(SimulatedNode edge, String line, String operation, long delay) {
-    Map<Integer, GroupConfiguration> partitions = edge.partitions;
-    if (partitions.isEmpty()) {
+  /** Sends one message, which has either an ordering key or an idempotency key. */
+  private void send(
+      SimulatedNode edge, String orderingKey, String idempotencyKey, long delayMicros) {
+    if (edge.partitions.isEmpty()) {
       return;
     }
-    int group = Math.floorMod((line != null ? line : operation).hashCode(), partitions.size());
-    String id = group + ".m" + ++number;
-    String body = "body of " + id + " " + "x".repeat(world.random.nextInt(400));
-    MessageInvariantChecker.Sent s = checker.sent(id, line, delay, body);
+    String partitionKey = orderingKey != null ? orderingKey : idempotencyKey;
+    int partition = Math.floorMod(partitionKey.hashCode(), edge.partitions.size());
+    String id = partition + ".m" + ++lastNumber;
+    String body = "body of " + id + " " + "x".repeat(world.random.nextInt(MAX_PADDING));
+    MessageInvariantChecker.SentMessage sent = checker.sent(id, orderingKey, delayMicros, body);
     WireRecord message =
         new WireRecord("put")
             .with("id", id)
-            .with("order", line)
-            .with("op", operation)
+            .with("order", orderingKey)
+            .with("op", idempotencyKey)
             .with("host", "h")
             .with("target", "/m")
             .with("method", "POST")
             .with("headers", List.of())
             .with("body", body.getBytes(StandardCharsets.UTF_8))
-            .with("delay", delay)
-            .with("keep", 600_000_000L)
+            .with("delay", delayMicros)
+            .with("keep", RETENTION_MICROS)
             .with("cfg", 1);
-    put(edge, group, message, s, operation, world.now() + PATIENCE, false);
+    new Ingest(edge, partition, message, sent, idempotencyKey).attempt();
   }
 
-  private void put(
-      SimulatedNode edge,
-      int group,
-      WireRecord message,
-      MessageInvariantChecker.Sent s,
-      String operation,
-      long until,
-      boolean doubtful) {
-    GroupConfiguration v = edge.partitions.get(group);
-    if (world.now() > until) {
-      if (!doubtful) {
-        refused++;
-        checker.refused(s);
+  /** Sends one message to the primary of its partition until that accepts it or time is up. */
+  private final class Ingest {
+    private final SimulatedNode edge;
+    private final int partition;
+    private final WireRecord message;
+    private final MessageInvariantChecker.SentMessage sent;
+    private final String idempotencyKey;
+    private final long deadlineMicros = world.now() + INGEST_DEADLINE_MICROS;
+
+    /** Whether an attempt had no answer, so that the message may have been accepted. */
+    private boolean unknown;
+
+    Ingest(
+        SimulatedNode edge,
+        int partition,
+        WireRecord message,
+        MessageInvariantChecker.SentMessage sent,
+        String idempotencyKey) {
+      this.edge = edge;
+      this.partition = partition;
+      this.message = message;
+      this.sent = sent;
+      this.idempotencyKey = idempotencyKey;
+    }
+
+    void attempt() {
+      if (world.now() > deadlineMicros) {
+        if (!unknown) {
+          checker.rejected(sent);
+        }
+        return;
       }
-      return;
+      edge.agent.askNode(
+          GroupConfiguration.addressOf(edge.partitions.get(partition).primary()),
+          new WireRecord("m.put").with("group", partition).with("message", message),
+          INGEST_TIMEOUT_MICROS,
+          this::answered);
+    }
+
+    private void answered(WireRecord reply) {
+      if (reply != null && reply.has("taken")) {
+        checker.accepted(idempotencyKey, reply.text("taken"));
+        return;
+      }
+      unknown |= reply == null;
+      world.schedule(INGEST_RETRY_MICROS, () -> edge.perform(this::attempt));
     }
-    edge.node.askNode(
-        GroupConfiguration.addressOf(v.primary()),
-        new WireRecord("m.put").with("group", group).with("message", message),
-        600_000,
-        r -> {
-          if (r != null && r.has("taken")) {
-            checker.accepted(s, operation, r.text("taken"));
-          } else {
-            SimulatedNode n = edge;
-            world.at(
-                40_000,
-                () ->
-                    n.perform(
-                        () -> put(n, group, message, s, operation, until, doubtful || r == null)));
-          }
-        });
   }
 
-  /** Asks for the state, and for the bytes where there are any, of all that was accepted. */
-  void askForAll() {
-    checker.accepted.values().forEach(s -> ask(s, 30));
+  /** Queries the state, and the body where it is still stored, of every accepted message. */
+  void queryAll() {
+    checker.accepted.values().forEach(sent -> query(sent, QUERY_RETRIES));
   }
 
-  private void ask(MessageInvariantChecker.Sent s, int tries) {
-    SimulatedNode edge = fleet.anyUp();
-    int group = Integer.parseInt(s.id.substring(0, s.id.indexOf('.')));
-    String primary = GroupConfiguration.addressOf(edge.partitions.get(group).primary());
-    edge.node.askNode(
+  private void query(MessageInvariantChecker.SentMessage sent, int retriesLeft) {
+    SimulatedNode edge = cluster.randomRunningNode();
+    int partition = Integer.parseInt(sent.id.substring(0, sent.id.indexOf('.')));
+    String primary = GroupConfiguration.addressOf(edge.partitions.get(partition).primary());
+    edge.agent.askNode(
         primary,
-        new WireRecord("m.state").with("group", group).with("id", s.id),
-        500_000,
-        r -> {
-          if (r == null || r.has("no")) {
-            if (tries > 0) {
-              world.at(100_000, () -> ask(s, tries - 1));
-            } else {
-              checker.breach("LOST " + s.id + ": nobody answers for it");
-            }
+        new WireRecord("m.state").with("group", partition).with("id", sent.id),
+        QUERY_TIMEOUT_MICROS,
+        reply -> {
+          if (reply == null || reply.has("no")) {
+            retryQuery(sent, retriesLeft);
             return;
           }
-          checker.state(s, r.text("state"), r.text("seal"));
-          if ("QUEUED".equals(r.text("state"))) {
-            edge.node.askNode(
-                primary,
-                new WireRecord("m.body").with("group", group).with("id", s.id),
-                500_000,
-                b -> {
-                  if (b != null && b.has("body")) {
-                    checker.body(s, new String(b.bytes("body"), StandardCharsets.UTF_8));
-                  }
-                });
+          checker.stateQueried(sent, reply.text("state"), reply.text("seal"));
+          if ("QUEUED".equals(reply.text("state"))) {
+            queryBody(edge, primary, partition, sent);
+          }
+        });
+  }
+
+  private void retryQuery(MessageInvariantChecker.SentMessage sent, int retriesLeft) {
+    if (retriesLeft > 0) {
+      world.schedule(QUERY_RETRY_MICROS, () -> query(sent, retriesLeft - 1));
+    } else {
+      checker.addViolation("LOST " + sent.id + ": nobody answers for it");
+    }
+  }
+
+  private void queryBody(
+      SimulatedNode edge, String primary, int partition, MessageInvariantChecker.SentMessage sent) {
+    edge.agent.askNode(
+        primary,
+        new WireRecord("m.body").with("group", partition).with("id", sent.id),
+        QUERY_TIMEOUT_MICROS,
+        reply -> {
+          if (reply != null && reply.has("body")) {
+            checker.bodyQueried(sent, new String(reply.bytes("body"), StandardCharsets.UTF_8));
           }
         });
   }
--- a/src/main/java/org/otterpond/simulation/SimulatedReplicaGroup.java
+++ b/src/main/java/org/otterpond/simulation/SimulatedReplicaGroup.java
@@ -80,7 +80,7 @@
     }
 
     private void tick(int l) {
-      world.at(
+      world.schedule(
           50_000,
           () ->
               perform(
@@ -179,7 +179,7 @@
       int l = life;
       // One disk: what was written first is answered first.
       diskFree = Math.max(diskFree + 1, world.now() + (slowDisk ? 2_000_000 : 800));
-      world.at(
+      world.schedule(
           diskFree - world.now(),
           () -> {
             if (l == life && up) {
@@ -192,7 +192,7 @@
     @Override
     public void after(long delayMicros, Runnable task) {
       int l = life;
-      world.at(delayMicros, () -> perform(l, task));
+      world.schedule(delayMicros, () -> perform(l, task));
     }
 
     @Override
@@ -208,14 +208,14 @@
                   .values()
                   .forEach(
                       m ->
-                          world.at(
+                          world.schedule(
                               world.random.nextInt(300_000),
                               () -> m.perform(() -> m.group.learn(next))));
             }
             GroupConfiguration v = installed;
             way("manager", name, () -> perform(l, () -> outcome.accept(v)));
           });
-      world.at(700_000, () -> perform(l, () -> outcome.accept(null)));
+      world.schedule(700_000, () -> perform(l, () -> outcome.accept(null)));
     }
 
     @Override
@@ -225,7 +225,7 @@
 
     @Override
     public void event(String line) {
-      world.event(name, line);
+      world.logEvent(name, line);
     }
 
     @Override
@@ -283,8 +283,8 @@
     names.forEach(n -> members.put(n, new Member(n)));
     installed = new GroupConfiguration(0, 1, names.get(0), names.subList(1, count), names);
     members.values().forEach(Member::start);
-    world.at(0, this::writer);
-    world.at(0, this::reader);
+    world.schedule(0, this::writer);
+    world.schedule(0, this::reader);
   }
 
   private static WireRecord decode(byte[] b) {
@@ -303,10 +303,10 @@
     long at =
         Math.max(world.now() + 200 + world.random.nextInt(2_000), arrives.getOrDefault(w, 0L) + 1);
     arrives.put(w, at);
-    if (cuts.contains(w) || world.random.nextDouble() < world.loss) {
+    if (cuts.contains(w) || world.random.nextDouble() < world.network.lossProbability) {
       return;
     }
-    world.at(
+    world.schedule(
         at - world.now(),
         () -> {
           if (!cuts.contains(w)) {
@@ -331,7 +331,7 @@
   }
 
   private void writer() {
-    world.at(2_000 + world.random.nextInt(6_000), this::writer);
+    world.schedule(2_000 + world.random.nextInt(6_000), this::writer);
     for (Member m : members.values()) {
       if (m.up && !m.frozen && m.group.serving()) {
         long value = ++written;
@@ -352,7 +352,7 @@
 
   /** A query must see everything that was acknowledged before it was asked. */
   private void reader() {
-    world.at(1_000 + world.random.nextInt(4_000), this::reader);
+    world.schedule(1_000 + world.random.nextInt(4_000), this::reader);
     for (Member m : members.values()) {
       long before = newestAcknowledged;
       m.perform(
@@ -390,7 +390,7 @@
   /** In the end everything acknowledged is there, on every member of the configuration in force. */
   void settle() {
     heal();
-    world.loss = 0;
+    world.network.lossProbability = 0;
     members
         .values()
         .forEach(
--- a/src/main/java/org/otterpond/simulation/SimulatedWorkers.java
+++ b/src/main/java/org/otterpond/simulation/SimulatedWorkers.java
@@ -3,278 +3,184 @@
 import com.google.gson.JsonObject;
 import com.google.gson.JsonParser;
 import java.util.ArrayList;
+import java.util.Collection;
 import java.util.HashMap;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import java.util.TreeMap;
 import java.util.function.Consumer;
 import org.otterpond.control.state.WorkerInstance;
-import org.otterpond.control.state.WorkerState;
 import org.otterpond.keyrange.KeyRange;
 import org.otterpond.keyrange.KeyRangeRuntime;
-import org.otterpond.keyrange.KeyRangeState;
 import org.otterpond.protocol.WireRecord;
 
 /**
- * Workers of one divided service, who hold keys as they are granted them, with clocks that run two
- * per cent slow.
+ * The workers of one partitioned service: sends their heartbeats to the nodes and carries the
+ * nodes' calls to them, some of which are lost.
  */
 final class SimulatedWorkers {
   static final String SERVICE = "divided";
-  private static final double SLOW = 1.02;
-  private static final int KEYS = 64;
-  private static final int STEP = (KeyRange.LAST_KEY + 1) / KEYS;
 
-  private final SimulatedCluster fleet;
-  private final SimulatedWorld world;
-  final Map<String, Worker> workers = new LinkedHashMap<>();
-  final List<String> broken = new ArrayList<>();
-  private final Map<String, Map<Integer, Integer>> heat = new HashMap<>();
-  int served;
-  int misses;
-  boolean calling = true;
+  /** How many keys are used, evenly spread over the key space. */
+  static final int KEYS = 64;
 
-  /** A key that gets half of all requests. */
-  int hot = -1;
+  /** The distance between two keys that are used. */
+  static final int KEY_STEP = (KeyRange.LAST_KEY + 1) / KEYS;
 
-  int lives;
+  private static final long HEARTBEAT_MICROS = 400_000;
+  private static final long MIN_LATENCY_MICROS = 200;
+  private static final int LATENCY_SPREAD_MICROS = 2_000;
 
-  final class Worker {
-    final String id;
-    final String address;
-    boolean up = true;
-    boolean draining;
-    long sequence;
+  /** The longest time that a worker takes to finish the requests of a range that it releases. */
+  private static final int RELEASE_WORK_MICROS = 300_000;
 
-    /** By the first key of what was granted: last key, fence, until. */
-    final TreeMap<Integer, long[]> grants = new TreeMap<>();
+  private static final int REPORTED_WORK_MICROS = 50_000;
 
-    final Map<Integer, Long> fences = new HashMap<>();
-    final Map<Integer, Long> heldSince = new HashMap<>();
-    final Map<Integer, Long> heldUntil = new HashMap<>();
-    final Map<Integer, Long> began = new HashMap<>();
+  private final SimulatedCluster cluster;
+  private final SimulatedWorld world;
+  private final Map<String, SimulatedWorker> workers = new LinkedHashMap<>();
 
-    Worker(String id, String address) {
-      this.id = id;
-      this.address = address;
-    }
+  /** The number of requests for each key since the last report, by the node that forwarded them. */
+  private final Map<String, Map<Integer, Integer>> requestCounts = new HashMap<>();
 
-    boolean holds(int key) {
-      return up && heldUntil.getOrDefault(key, 0L) > world.now();
-    }
+  /** How many workers have been started so far. */
+  int incarnations;
 
-    KeyRangeRuntime.Answer grant(JsonObject o) {
-      long fence = o.get("fence").getAsLong();
-      long until = world.now() + (long) (o.get("hold_timer_ms").getAsLong() * 1000 * SLOW);
-      List<Integer> keys = keys(o);
-      for (int k : keys) {
-        if (fences.getOrDefault(k, 0L) > fence) {
-          return new KeyRangeRuntime.Answer(409, null, true);
-        }
-      }
-      for (int k : keys) {
-        if (!holds(k)) {
-          heldSince.put(k, world.now());
-        }
-        fences.put(k, fence);
-        heldUntil.put(k, until);
-      }
-      return new KeyRangeRuntime.Answer(200, null, true);
-    }
-
-    KeyRangeRuntime.Answer release(JsonObject o) {
-      keys(o).forEach(heldUntil::remove);
-      return new KeyRangeRuntime.Answer(200, "token-" + id, true);
-    }
-
-    private List<Integer> keys(JsonObject o) {
-      List<Integer> out = new ArrayList<>();
-      for (int k = 0; k < KEYS; k++) {
-        if (k * STEP >= o.get("source_revision").getAsInt()
-            && k * STEP <= o.get("target_revision").getAsInt()) {
-          out.add(k * STEP);
-        }
-      }
-      return out;
-    }
+  SimulatedWorkers(SimulatedCluster cluster) {
+    this.cluster = cluster;
+    this.world = cluster.world;
+    cluster.nodes.forEach(node -> node.keyRangeWorkers = this);
   }
 
-  SimulatedWorkers(SimulatedCluster fleet) {
-    this.fleet = fleet;
-    this.world = fleet.world;
-    fleet.all.forEach(n -> n.keyWorkers = this);
+  /** The newest worker at each address. */
+  Collection<SimulatedWorker> all() {
+    return workers.values();
   }
 
-  Worker add(String address) {
-    Worker w = new Worker("w" + ++lives, address);
-    workers.put(address, w);
-    beat(w);
-    return w;
+  /** Starts a worker, in place of the one that there was at the address. */
+  SimulatedWorker add(String address) {
+    SimulatedWorker worker = new SimulatedWorker(world, "w" + ++incarnations, address);
+    workers.put(address, worker);
+    sendHeartbeats(worker);
+    return worker;
   }
 
-  private void beat(Worker w) {
-    if (!w.up || workers.get(w.address) != w) {
+  private void sendHeartbeats(SimulatedWorker worker) {
+    if (!worker.running || workers.get(worker.address) != worker) {
       return;
     }
-    SimulatedNode n = fleet.anyUp();
-    if (n != null && !n.frozen()) {
-      WorkerInstance v =
-          new WorkerInstance(
-              w.id,
-              SERVICE,
-              w.address,
-              "z",
-              "v1",
-              4,
-              w.draining ? WorkerState.DRAINING : WorkerState.IN_SERVICE,
-              ++w.sequence,
-              0);
-      n.perform(() -> n.node.beat(v, ok -> {}));
+    SimulatedNode node = cluster.randomRunningNode();
+    if (node != null && !node.isFrozen()) {
+      WorkerInstance heartbeat = worker.heartbeat(SERVICE);
+      node.perform(() -> node.agent.beat(heartbeat, accepted -> {}));
     }
-    world.at(400_000, () -> beat(w));
+    world.schedule(HEARTBEAT_MICROS, () -> sendHeartbeats(worker));
   }
 
-  /** Ends and starts again at its address, as another life that holds nothing. */
-  void crash(Worker w, long down) {
-    w.up = false;
-    world.at(down, () -> add(w.address));
+  /** Ends a worker and later starts another one, which holds no keys, at its address. */
+  void crash(SimulatedWorker worker, long restartMicros) {
+    worker.running = false;
+    world.schedule(restartMicros, () -> add(worker.address));
   }
 
-  void call(
-      String from,
-      String to,
-      String path,
-      String body,
-      long timeout,
-      Consumer<KeyRangeRuntime.Answer> answer) {
-    boolean[] done = {false};
-    long way = 200 + world.random.nextInt(2_000);
-    world.at(
-        timeout,
-        () -> {
-          if (!done[0]) {
-            done[0] = true;
-            answer.accept(new KeyRangeRuntime.Answer(0, null, true));
-          }
-        });
-    if (world.isCut(from, to)) {
-      return;
+  /** One call of a node to a worker. */
+  record Call(String from, String to, String path, String body, long timeoutMicros) {}
+
+  /**
+   * Carries a call to the worker at its address.
+   *
+   * @param answer called once, with status 0 if the call has timed out
+   */
+  void call(Call call, Consumer<KeyRangeRuntime.Answer> answer) {
+    PendingCall pending = new PendingCall(answer);
+    final long latencyMicros = MIN_LATENCY_MICROS + world.random.nextInt(LATENCY_SPREAD_MICROS);
+    world.schedule(
+        call.timeoutMicros(), () -> pending.complete(new KeyRangeRuntime.Answer(0, null, true)));
+    if (!world.network.isPartitioned(call.from(), call.to())) {
+      world.schedule(latencyMicros, () -> execute(call, pending, latencyMicros));
     }
-    world.at(
-        way,
-        () -> {
-          Worker w = workers.get(to);
-          if (w == null || !w.up || done[0]) {
-            return;
-          }
-          JsonObject o = JsonParser.parseString(body).getAsJsonObject();
-          boolean grant = path.endsWith("grant");
-          // The answer to a release comes when the work on its keys has ended.
-          long work = grant ? 0 : world.random.nextInt(300_000);
-          KeyRangeRuntime.Answer a = grant ? w.grant(o) : w.release(o);
-          if (world.random.nextInt(40) == 0 || world.isCut(from, to)) {
-            return;
-          }
-          world.at(
-              way + work,
-              () -> {
-                if (!done[0] && w.up) {
-                  done[0] = true;
-                  answer.accept(a);
-                }
-              });
-        });
   }
 
-  List<WireRecord> heat(String node) {
-    Map<Integer, Integer> counts = heat.remove(node);
-    if (counts == null) {
-      return List.of();
-    }
-    List<Object> keys = new ArrayList<>();
-    counts.forEach(
-        (k, n) -> {
-          keys.add((long) k);
-          keys.add((long) n);
-        });
-    return List.of(
-        new WireRecord("heat").with("service", SERVICE).with("work", 50_000).with("keys", keys));
-  }
-
-  /** Clients, at any node, for keys of which one may be hot. */
-  void requests() {
-    if (!calling) {
+  private void execute(Call call, PendingCall pending, long latencyMicros) {
+    SimulatedWorker worker = workers.get(call.to());
+    if (worker == null || !worker.running || pending.done) {
       return;
     }
-    world.at(1_000 + world.random.nextInt(2_000), this::requests);
-    SimulatedNode n = fleet.anyUp();
-    if (n == null || n.frozen()) {
+    JsonObject request = JsonParser.parseString(call.body()).getAsJsonObject();
+    boolean grants = call.path().endsWith("grant");
+    // A release is answered once the requests for its keys have ended.
+    long workMicros = grants ? 0 : world.random.nextInt(RELEASE_WORK_MICROS);
+    KeyRangeRuntime.Answer answer = grants ? worker.grant(request) : worker.release(request);
+    boolean answerLost = world.random.nextInt(40) == 0;
+    if (answerLost || world.network.isPartitioned(call.from(), call.to())) {
       return;
     }
-    int key =
-        hot >= 0 && world.random.nextInt(2) == 0
-            ? hot + world.random.nextInt(4) * STEP
-            : world.random.nextInt(KEYS) * STEP;
-    n.perform(
+    world.schedule(
+        latencyMicros + workMicros,
         () -> {
-          heat.computeIfAbsent(n.address, a -> new HashMap<>()).merge(key, 1, Integer::sum);
-          KeyRange r = n.ranges.at(SERVICE, key);
-          if (r == null || r.state() != KeyRangeState.HELD) {
-            misses++;
-            return;
+          if (worker.running) {
+            pending.complete(answer);
           }
-          // The node may know less than is in force by now: what it sends goes by its own table.
-          world.at(200 + world.random.nextInt(20_000), () -> begins(r.owner(), key));
         });
   }
 
-  private void begins(String owner, int key) {
-    for (Worker w : workers.values()) {
-      if (!w.id.equals(owner)) {
-        continue;
-      }
-      if (!w.holds(key)) {
-        misses++;
-        return;
-      }
-      served++;
-      w.began.put(key, world.now());
-      for (Worker o : workers.values()) {
-        if (o != w && o.holds(key)) {
-          long both = Math.max(w.heldSince.get(key), o.heldSince.get(key));
-          if (o.began.getOrDefault(key, Long.MIN_VALUE) >= both) {
-            broken.add(world.now() / 1000 + " OWNER key " + key + ": " + w.id + " and " + o.id);
-          }
-        }
+  /** A call that is answered once: by the worker or by its time-out, whichever comes first. */
+  private static final class PendingCall {
+    private final Consumer<KeyRangeRuntime.Answer> answer;
+    private boolean done;
+
+    PendingCall(Consumer<KeyRangeRuntime.Answer> answer) {
+      this.answer = answer;
+    }
+
+    void complete(KeyRangeRuntime.Answer result) {
+      if (!done) {
+        done = true;
+        answer.accept(result);
       }
-      return;
     }
-    misses++;
   }
 
-  int held() {
-    int n = 0;
-    for (int k = 0; k < KEYS; k++) {
-      int key = k * STEP;
-      n += workers.values().stream().anyMatch(w -> w.holds(key)) ? 1 : 0;
-    }
-    return n;
+  /** Counts a request that a node forwards. */
+  void countRequest(String node, int key) {
+    requestCounts.computeIfAbsent(node, address -> new HashMap<>()).merge(key, 1, Integer::sum);
   }
 
-  int keysHeldBy(Worker w) {
-    int n = 0;
-    for (int k = 0; k < KEYS; k++) {
-      n += w.holds(k * STEP) ? 1 : 0;
+  /** The load report of a node: the requests for each key since its last report. */
+  List<WireRecord> takeLoadReport(String node) {
+    Map<Integer, Integer> counts = requestCounts.remove(node);
+    if (counts == null) {
+      return List.of();
     }
-    return n;
+    List<Object> keysAndCounts = new ArrayList<>();
+    counts.forEach(
+        (key, count) -> {
+          keysAndCounts.add((long) key);
+          keysAndCounts.add((long) count);
+        });
+    return List.of(
+        new WireRecord("heat")
+            .with("service", SERVICE)
+            .with("work", REPORTED_WORK_MICROS)
+            .with("keys", keysAndCounts));
   }
 
-  static int keys() {
-    return KEYS;
+  /** How many keys are held by some worker. */
+  int heldKeys() {
+    int held = 0;
+    for (int i = 0; i < KEYS; i++) {
+      int key = i * KEY_STEP;
+      held += all().stream().anyMatch(worker -> worker.holds(key)) ? 1 : 0;
+    }
+    return held;
   }
 
-  static int step() {
-    return STEP;
+  /** How many keys one worker holds. */
+  static int keysHeldBy(SimulatedWorker worker) {
+    int held = 0;
+    for (int i = 0; i < KEYS; i++) {
+      held += worker.holds(i * KEY_STEP) ? 1 : 0;
+    }
+    return held;
   }
 }
--- a/src/main/java/org/otterpond/simulation/Simulation.java
+++ b/src/main/java/org/otterpond/simulation/Simulation.java
@@ -7,155 +7,199 @@
 import org.otterpond.config.Tenant;
 
 /**
- * Plays one schedule: founds a fleet, lets operators, clients and workers call, strikes, heals and
- * judges.
+ * Runs one schedule: bootstraps a cluster, lets operators, clients and workers send requests while
+ * faults are injected, waits for the recovery, and checks everything that was observed.
  */
 final class Simulation {
-  private static final long S = 1_000_000;
-  private static final long FOUNDING = 9 * S;
-  private static final long HEALING = 6 * S;
-  private static final long LAST_CALLS = 8 * S;
+  private static final long SECOND_MICROS = 1_000_000;
+  private static final long BOOTSTRAP_MICROS = 9 * SECOND_MICROS;
+  private static final long RECOVERY_MICROS = 6 * SECOND_MICROS;
+  private static final long SETTLING_MICROS = 8 * SECOND_MICROS;
+  private static final int KEY_PAUSE_SPREAD_MICROS = 40_000;
 
-  /** Where there are three zones, one of them is far away. */
-  private static final int FAR = 3;
+  /** With so many zones, the last one is in another region. */
+  private static final int ZONES_WITH_REMOTE_REGION = 3;
 
-  private static final int FEW_CHANGES = 40;
-  private static final double ANSWERS_LOST = 0.25;
+  /** Outside a write storm a write is not sent again after more confirmed changes than that. */
+  private static final int MAX_CHANGES_BETWEEN = 40;
+
+  private static final double ANSWER_LOSS = 0.25;
 
   private final Schedule schedule;
-  private final SimulatedCluster fleet;
+  private final SimulatedCluster cluster;
   private final SimulatedWorld world;
   private final OperationHistory history;
-  private final OperatorClient operators;
-  private final ConcurrentOperators races;
-  private final KeyLockClients claims;
+  private final OperatorClient operatorClient;
+  private final ConcurrentOperators operators;
+  private final KeyLockClients keyLocks;
   private final WorkerLifecycleClients workers;
   private final FaultInjector faults;
-  private final List<String> breaches = new ArrayList<>();
+  private final List<Violation> violations = new ArrayList<>();
 
+  /** Prepares the run; nothing happens before {@link #run()}. */
   Simulation(Schedule schedule) {
     this.schedule = schedule;
-    fleet =
-        new SimulatedCluster(schedule.seed(), schedule.core(), schedule.edge(), schedule.faults());
-    world = fleet.world;
+    cluster =
+        new SimulatedCluster(
+            schedule.seed(), schedule.coreSize(), schedule.edgeSize(), schedule.maxFailures());
+    world = cluster.world;
     history = new OperationHistory(world::now);
-    // Their own draws: a fault more or less does not change what they call next.
-    operators =
+    // Each client has its own random numbers, so that another fault does not change what they send.
+    operatorClient =
         new OperatorClient(
-            fleet,
+            cluster,
             history,
-            new Random(schedule.seed() + 1),
-            ANSWERS_LOST,
-            schedule.storm() ? Integer.MAX_VALUE : FEW_CHANGES);
-    races =
-        new ConcurrentOperators(
-            fleet, operators, new Random(schedule.seed() + 2), schedule.storm());
-    claims = new KeyLockClients(fleet, operators, new Random(schedule.seed() + 3));
-    workers = new WorkerLifecycleClients(fleet, operators, new Random(schedule.seed() + 4));
-    faults = new FaultInjector(fleet, schedule.faults(), schedule.edgeFaults());
-    for (int i = 0; i < fleet.all.size(); i++) {
-      SimulatedNode n = fleet.all.get(i);
-      n.zone = schedule.zones() < 2 ? n.zone : "z" + i % schedule.zones();
-      n.region = i % FAR == FAR - 1 && schedule.zones() == FAR ? "far" : n.region;
-      n.selfAtOnce = true;
-      n.onConfigured =
-          c ->
-              history.served(
-                  n.address, c.revision(), c.tenants().stream().map(Tenant::name).toList());
-      if (n.disk == null) {
-        world.width(n.address, schedule.width());
-      }
+            clientRandom(1),
+            ANSWER_LOSS,
+            schedule.writeStorm() ? Integer.MAX_VALUE : MAX_CHANGES_BETWEEN);
+    operators =
+        new ConcurrentOperators(cluster, operatorClient, clientRandom(2), schedule.writeStorm());
+    keyLocks =
+        new KeyLockClients(cluster, operatorClient, clientRandom(3), KEY_PAUSE_SPREAD_MICROS);
+    workers = new WorkerLifecycleClients(cluster, operatorClient, clientRandom(4));
+    faults = new FaultInjector(cluster, schedule.maxFailures(), schedule.maxEdgeFailures());
+    for (int i = 0; i < cluster.nodes.size(); i++) {
+      prepare(cluster.nodes.get(i), i);
+    }
+  }
+
+  private Random clientRandom(int client) {
+    return new Random(schedule.seed() + client);
+  }
+
+  private void prepare(SimulatedNode node, int index) {
+    int zones = schedule.zones();
+    if (zones > 1) {
+      node.zone = "z" + index % zones;
+    }
+    if (zones == ZONES_WITH_REMOTE_REGION && index % zones == zones - 1) {
+      node.region = "far";
+    }
+    node.localDelivery = true;
+    node.onConfigured =
+        configuration -> {
+          List<String> markers = configuration.tenants().stream().map(Tenant::name).toList();
+          history.activated(node.address, configuration.revision(), markers);
+        };
+    if (node.disk == null) {
+      world.network.limitBandwidth(node.address, schedule.edgeBytesPerSecond());
     }
   }
 
-  /** The same with something broken on purpose, once the core is founded. */
-  ScheduleOutcome run(Consumer<SimulatedCluster> breakage) {
-    world.run(FOUNDING);
-    if (fleet.leader() == null) {
-      breaches.add("liveness: no core was founded");
+  /** Runs the schedule and checks the run. */
+  ScheduleOutcome run() {
+    return run(unchanged -> {});
+  }
+
+  /**
+   * Runs the schedule with a defect, to test that the checks find it.
+   *
+   * @param plantDefect changes the cluster once it is bootstrapped
+   */
+  ScheduleOutcome run(Consumer<SimulatedCluster> plantDefect) {
+    world.run(BOOTSTRAP_MICROS);
+    if (cluster.primary() == null) {
+      addViolation(Violation.Kind.LIVENESS, "the core was not bootstrapped");
       return outcome();
     }
-    breakage.accept(fleet);
-    races.start();
-    claims.start();
+    plantDefect.accept(cluster);
+    runClientsAndFaults();
+    recover();
+    checkLiveness();
+    checkSafety();
+    return outcome();
+  }
+
+  private void runClientsAndFaults() {
+    operators.start();
+    keyLocks.start();
     workers.start();
-    faults.play(schedule.entries());
-    world.run(schedule.seconds() * S);
-    races.stop();
-    claims.stop();
+    faults.start(schedule.faults());
+    world.run(schedule.seconds() * SECOND_MICROS);
+    operators.stop();
+    keyLocks.stop();
     workers.stop();
-    world.run(longestFault());
-    fleet.all.forEach(SimulatedNode::start);
-    world.run(HEALING);
-    operators.settle();
-    world.run(LAST_CALLS);
-    last();
-    judge();
-    return outcome();
   }
 
-  ScheduleOutcome run() {
-    return run(f -> {});
+  /** All faults end by themselves, so the recovery takes nothing but time. */
+  private void recover() {
+    world.run(remainingFaultMicros() + 2 * SECOND_MICROS);
+    cluster.nodes.forEach(SimulatedNode::start);
+    world.run(RECOVERY_MICROS);
+    operatorClient.settle();
+    world.run(SETTLING_MICROS);
   }
 
-  /** All faults end by themselves; nothing more than time is needed. */
-  private long longestFault() {
-    long end = schedule.seconds() * 1000L;
-    for (Fault f : schedule.entries()) {
-      end = Math.max(end, f.atMillis() + f.forMillis());
+  private long remainingFaultMicros() {
+    long clientsEndMillis = schedule.seconds() * 1000L;
+    long lastMillis = clientsEndMillis;
+    for (Fault fault : schedule.faults()) {
+      lastMillis = Math.max(lastMillis, fault.atMillis() + fault.durationMillis());
     }
-    return (end - schedule.seconds() * 1000L) * 1000 + 2 * S;
+    return (lastMillis - clientsEndMillis) * 1000;
   }
 
-  /** All is well: a change is taken, every node has it, and reads show it. */
-  private void last() {
-    operators.read();
-    world.run(S);
-    int before = operators.confirmed;
-    races.alone();
-    world.run(3 * S);
+  /** Without faults a write must be confirmed, read back and activated by every node. */
+  private void checkLiveness() {
+    operatorClient.read();
+    world.run(SECOND_MICROS);
+    final int confirmedBefore = operatorClient.confirmed;
+    operators.writeAlone();
+    world.run(3 * SECOND_MICROS);
     for (int i = 0; i < 4; i++) {
-      operators.read();
-      world.run(S / 2);
+      operatorClient.read();
+      world.run(SECOND_MICROS / 2);
     }
-    if (fleet.leader() == null) {
-      breaches.add("liveness: no primary at the end");
-    } else if (operators.confirmed == before) {
-      breaches.add("liveness: no change is taken at the end");
+    if (cluster.primary() == null) {
+      addViolation(Violation.Kind.LIVENESS, "no primary at the end");
+    } else if (operatorClient.confirmed == confirmedBefore) {
+      addViolation(Violation.Kind.LIVENESS, "no write is confirmed at the end");
     }
-    for (SimulatedNode n : fleet.all) {
-      if (n.up() && n.node.revision() != operators.seen()) {
-        breaches.add(
-            "liveness: "
-                + n.address
-                + " has revision "
-                + n.node.revision()
-                + " in force, not "
-                + operators.seen());
-      }
+    for (SimulatedNode node : cluster.nodes) {
+      checkUpToDate(node);
+    }
+  }
+
+  private void checkUpToDate(SimulatedNode node) {
+    long newest = operatorClient.newestSeen();
+    if (node.isRunning() && node.agent.revision() != newest) {
+      addViolation(
+          Violation.Kind.LIVENESS,
+          node.address + " has revision " + node.agent.revision() + " active, not " + newest);
     }
   }
 
-  private void judge() {
-    fleet.checker.broken.forEach(b -> breaches.add("rules: " + b));
-    workers.forgotten().forEach(w -> breaches.add("leaving: acknowledged and forgotten: " + w));
-    LinearizabilityChecker checker = new LinearizabilityChecker(history.operations);
+  private void checkSafety() {
+    for (String violation : cluster.checker.violations) {
+      addViolation(Violation.Kind.INVARIANT, violation);
+    }
+    for (String worker : workers.forgottenDrains()) {
+      addViolation(Violation.Kind.DRAIN, "acknowledged and forgotten: " + worker);
+    }
+    LinearizabilityChecker checker = new LinearizabilityChecker(history.operations());
     switch (checker.verdict()) {
-      case VIOLATED -> breaches.add("history: " + checker.explain());
-      case UNDECIDED -> breaches.add("undecided: too many orders of unknown fate");
-      default -> {}
+      case VIOLATED -> addViolation(Violation.Kind.LINEARIZABILITY, checker.explain());
+      case UNDECIDED ->
+          addViolation(Violation.Kind.UNDECIDED, "too many writes of unknown outcome");
+      default -> {
+        // The history is linearizable, as it must be.
+      }
     }
   }
 
+  private void addViolation(Violation.Kind kind, String description) {
+    violations.add(new Violation(kind, description));
+  }
+
   private ScheduleOutcome outcome() {
     return new ScheduleOutcome(
-        List.copyOf(breaches),
-        history.operations.size(),
-        operators.confirmed,
-        operators.refused,
-        fleet.checker.grants,
-        workers.leavings(),
-        faults.played().size(),
-        List.copyOf(world.log));
+        List.copyOf(violations),
+        history.operations().size(),
+        operatorClient.confirmed,
+        operatorClient.rejected,
+        cluster.checker.keyGrants,
+        workers.acknowledgedDrains(),
+        faults.injected(),
+        List.copyOf(world.eventLog));
   }
 }
