--- a/src/test/java/org/otterpond/simulation/ConfigurationDeliveryTest.java
+++ b/src/test/java/org/otterpond/simulation/ConfigurationDeliveryTest.java
@@ -1,100 +1,105 @@
 package org.otterpond.simulation;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
-import static org.junit.jupiter.api.Assertions.assertNotNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
+import static org.otterpond.simulation.ClusterFixture.SECOND_MICROS;
 
 import org.junit.jupiter.api.Test;
-import org.otterpond.protocol.CompressedPayload;
-import org.otterpond.protocol.WireRecord;
 
 /**
- * A node some versions behind is sent the changes in their order, and the whole text only if it
- * cannot use them.
+ * A node that lacks some revisions receives the changes in their order, and the whole configuration
+ * only if it cannot use them.
  */
 class ConfigurationDeliveryTest {
-  private static final long S = 1_000_000;
   private static final int SERVICES = 2_000;
+  private static final long HASH_MULTIPLIER = 0x9e3779b97f4a7c15L;
+  private static final long WRITE_INTERVAL_MICROS = 100_000;
 
-  /** Some 2,000 services under names that do not pack into nothing. */
+  /** A cluster with 2,000 services under names that hardly compress. */
   private static SimulatedCluster configured() {
-    SimulatedCluster f = new SimulatedCluster(601, 3, 3, 1);
-    StringBuilder s = new StringBuilder("[");
+    SimulatedCluster cluster = new SimulatedCluster(601, 3, 3, 1);
+    cluster.operator.services = services();
+    cluster.world.run(9 * SECOND_MICROS);
+    ClusterFixture.assertHasPrimary(cluster);
+    cluster.operator.change(() -> {});
+    cluster.world.run(2 * SECOND_MICROS);
+    assertEquals(1, cluster.checker.acknowledgements);
+    return cluster;
+  }
+
+  private static String services() {
+    StringBuilder json = new StringBuilder("[");
     for (int i = 0; i < SERVICES; i++) {
-      s.append(i == 0 ? "" : ",")
+      json.append(i == 0 ? "" : ",")
           .append("{\"name\":\"s")
-          .append(Long.toHexString(i * 0x9e3779b97f4a7c15L))
+          .append(Long.toHexString(i * HASH_MULTIPLIER))
           .append("\"}");
     }
-    f.services = s.append("]").toString();
-    f.world.run(9 * S);
-    assertNotNull(f.leader(), () -> f.tail());
-    f.change(() -> {});
-    f.world.run(2 * S);
-    assertEquals(1, f.checker.acknowledgements);
-    return f;
+    return json.append("]").toString();
   }
 
-  private static long modified(SimulatedCluster f, long base, int times) {
+  /** Modifies the configuration so many times and returns the newest revision. */
+  private static long modify(SimulatedCluster cluster, long base, int times) {
     for (int i = 0; i < times; i++) {
-      long from = base + i;
-      f.world.at(
-          i * 100_000L,
-          () ->
-              f.leader()
-                  .node
-                  .ask(
-                      new WireRecord("ask")
-                          .with("op", "write")
-                          .with("kind", "modify")
-                          .with("base", from)
-                          .with(
-                              "text",
-                              CompressedPayload.pack(
-                                  "{\"revision\":"
-                                      + (from + 1)
-                                      + ",\"upsert_items\":{\"service_table\":[{\"name\":\"added-"
-                                      + from
-                                      + "\"}]}}")),
-                      900_000,
-                      250_000,
-                      r -> assertEquals(200, r.number("status"), () -> r.text("cause"))));
+      long current = base + i;
+      cluster.world.schedule(i * WRITE_INTERVAL_MICROS, () -> addService(cluster, current));
     }
-    f.world.run(times * 100_000L + S);
+    cluster.world.run(times * WRITE_INTERVAL_MICROS + SECOND_MICROS);
     return base + times;
   }
 
+  private static void addService(SimulatedCluster cluster, long base) {
+    String text =
+        "{\"revision\":"
+            + (base + 1)
+            + ",\"upsert_items\":{\"service_table\":[{\"name\":\"added-"
+            + base
+            + "\"}]}}";
+    cluster
+        .primary()
+        .agent
+        .ask(
+            ControlRequests.modifyConfiguration(base, text),
+            900_000,
+            250_000,
+            reply -> assertEquals(200, reply.number("status"), () -> reply.text("cause")));
+  }
+
   @Test
-  void nodeThatMissedAFewChangesIsSentThese() {
-    SimulatedCluster f = configured();
-    SimulatedNode away = f.world.nodes.get("n3:1");
-    long base = away.node.revision();
-    f.world.cutOff(away.address);
-    long newest = modified(f, base, 6);
-    assertEquals(base, away.node.revision());
-    f.world.heal();
-    long before = f.world.traffic.get(away.address)[1];
-    f.world.run(2 * S);
-    assertEquals(newest, away.node.revision());
-    assertEquals(SERVICES + 6, away.configuration.services().size());
-    long bytes = f.world.traffic.get(away.address)[1] - before;
+  void nodeThatMissedFewChangesReceivesThoseChanges() {
+    SimulatedCluster cluster = configured();
+    SimulatedNode node = cluster.node("n3:1");
+    long base = node.agent.revision();
+    cluster.world.network.isolate(node.address);
+    final long newest = modify(cluster, base, 6);
+    assertEquals(base, node.agent.revision());
+
+    final long bytesBefore = cluster.world.network.traffic.get(node.address).bytes();
+    cluster.world.network.heal();
+    cluster.world.run(2 * SECOND_MICROS);
+
+    assertEquals(newest, node.agent.revision());
+    assertEquals(SERVICES + 6, node.configuration.services().size());
+    long bytes = cluster.world.network.traffic.get(node.address).bytes() - bytesBefore;
     assertTrue(bytes < 15_000, () -> bytes + " bytes for six small changes");
   }
 
   @Test
-  void nodeThatMissedMoreThanTheLogHoldsIsSentTheWhole() {
-    SimulatedCluster f = configured();
-    SimulatedNode away = f.world.nodes.get("n3:1");
-    long base = away.node.revision();
-    f.world.cutOff(away.address);
-    long newest = modified(f, base, 40);
-    f.world.heal();
-    f.world.run(2 * S);
-    assertEquals(newest, away.node.revision());
-    assertEquals(SERVICES + 40, away.configuration.services().size());
-    away.kill();
-    away.start();
-    f.world.run(S);
-    assertEquals(newest, away.node.revision(), "a node that holds nothing");
+  void nodeThatMissedMoreThanLogHoldsReceivesWholeConfiguration() {
+    SimulatedCluster cluster = configured();
+    SimulatedNode node = cluster.node("n3:1");
+    long base = node.agent.revision();
+    cluster.world.network.isolate(node.address);
+    final long newest = modify(cluster, base, 40);
+
+    cluster.world.network.heal();
+    cluster.world.run(2 * SECOND_MICROS);
+    assertEquals(newest, node.agent.revision());
+    assertEquals(SERVICES + 40, node.configuration.services().size());
+
+    node.kill();
+    node.start();
+    cluster.world.run(SECOND_MICROS);
+    assertEquals(newest, node.agent.revision(), "a node without any revision");
   }
 }
--- a/src/test/java/org/otterpond/simulation/ReplicaGroupTest.java
+++ b/src/test/java/org/otterpond/simulation/ReplicaGroupTest.java
@@ -32,7 +32,7 @@
         case 4 -> group.cutOff(member.name, true);
         default -> member.slowDisk = true;
       }
-      group.world.loss = group.world.random.nextInt(3) == 0 ? 0.05 : 0;
+      group.world.network.lossProbability = group.world.random.nextInt(3) == 0 ? 0.05 : 0;
       group.world.run(300_000 + group.world.random.nextInt(2_500_000));
       group.heal();
       members.forEach(
@@ -52,7 +52,7 @@
     SimulatedReplicaGroup group = new SimulatedReplicaGroup(seed, seed % 2 == 0 ? 3 : 4);
     group.world.run(2 * SECOND_MICROS);
     injectFaultsAndSettle(group);
-    assertEquals(List.of(), group.broken, () -> String.join("\n", group.world.log));
+    assertEquals(List.of(), group.broken, () -> String.join("\n", group.world.eventLog));
     assertTrue(
         group.updates > 500 && group.queries > 500,
         group.updates + " updates, " + group.queries + " queries");
@@ -65,7 +65,7 @@
     group.settle();
     assertEquals(List.of(), group.broken);
     assertTrue(group.updates > 1_000, group.updates + " updates");
-    assertTrue(group.world.log.stream().filter(l -> l.contains("group_reconciled")).count() <= 2);
+    assertTrue(group.world.eventLog.stream().filter(l -> l.contains("group_reconciled")).count() <= 2);
   }
 
   private interface Defect {
@@ -131,7 +131,7 @@
     group.members.values().forEach(m -> m.kill(true));
     group.world.run(SECOND_MICROS);
     group.settle();
-    assertEquals(List.of(), group.broken, () -> String.join("\n", group.world.log));
+    assertEquals(List.of(), group.broken, () -> String.join("\n", group.world.eventLog));
   }
 
   /**
