--- a/src/main/java/org/otterpond/control/state/ConfigurationUpdateParser.java
+++ b/src/main/java/org/otterpond/control/state/ConfigurationUpdateParser.java
@@ -14,7 +14,7 @@
  * thread; {@link #result} and {@link #cause} are read after it has returned.
  */
 public final class ConfigurationUpdateParser implements Runnable {
-  private final WireRecord news;
+  private final WireRecord response;
   private final ParsedConfiguration current;
   private final ConfigurationUpdate update;
   private ParsedConfiguration result;
@@ -23,15 +23,15 @@
   /**
    * Creates a parser.
    *
-   * @param news the poll response
+   * @param response the poll response
    * @param current the configuration that changes are applied to
    */
-  public ConfigurationUpdateParser(WireRecord news, ParsedConfiguration current) {
-    this.news = news;
+  public ConfigurationUpdateParser(WireRecord response, ParsedConfiguration current) {
+    this.response = response;
     this.current = current;
     ConfigurationUpdate decoded = null;
     try {
-      decoded = ConfigurationUpdate.of(news);
+      decoded = ConfigurationUpdate.of(response);
       cause = "parsing did not complete";
     } catch (ProtocolException e) {
       cause = e.getMessage();
@@ -49,7 +49,7 @@
 
   /** Returns the poll response that this parser was created with. */
   public WireRecord news() {
-    return news;
+    return response;
   }
 
   /** Returns the new configuration, or null if there is none. */
