--- a/src/main/java/org/otterpond/config/ConfigurationParser.java
+++ b/src/main/java/org/otterpond/config/ConfigurationParser.java
@@ -20,8 +20,8 @@
    *
    * @throws ConfigException if it is not valid
    */
-  public static GatewayConfiguration read(JsonObject whole) throws ConfigException {
-    JsonFields fields = JsonFields.of(whole, "");
+  public static GatewayConfiguration read(JsonObject configuration) throws ConfigException {
+    JsonFields fields = JsonFields.of(configuration, "");
     final long revision = fields.whole("revision", 1, Long.MAX_VALUE);
     Map<String, Service> services = services(fields);
     List<Route> routes = new RouteParser(services).parse(fields);
--- a/src/test/java/org/otterpond/control/state/ReplicatedEntryGoldenTest.java
+++ b/src/test/java/org/otterpond/control/state/ReplicatedEntryGoldenTest.java
@@ -15,6 +15,15 @@
 
 /** Entries and snapshots of the replicated state keep the encoded form of earlier versions. */
 class ReplicatedEntryGoldenTest {
+  /** The field by which the write-ahead log wraps long records; such records are not ours. */
+  private static final String COMPRESSED_RECORD = "bale";
+
+  private static List<GoldenMessages.Sample> snapshots() {
+    return GoldenMessages.samples(ReplicatedStateSnapshot.KIND).stream()
+        .filter(sample -> !sample.fields().contains(COMPRESSED_RECORD))
+        .toList();
+  }
+
   @ParameterizedTest
   @ValueSource(strings = {"claim", "free", "config", "worker", "assign"})
   void givenEncodedEntry_whenDecodedAndEncoded_thenBytesAreTheSame(String kind)
@@ -25,26 +34,15 @@
 
   @Test
   void givenEncodedSnapshot_whenDecodedAndEncoded_thenBytesAreTheSame() throws ProtocolException {
-    // The write-ahead log wraps long records; the wrapper is the storage package's.
-    List<GoldenMessages.Sample> snapshots =
-        GoldenMessages.samples(ReplicatedStateSnapshot.KIND).stream()
-            .filter(sample -> !sample.fields().contains("bale"))
-            .toList();
-
-    GoldenMessages.assertRoundTrip(snapshots, ReplicatedStateSnapshot::of);
+    GoldenMessages.assertRoundTrip(snapshots(), ReplicatedStateSnapshot::of);
     GoldenMessages.assertNestedRoundTrip(AssignmentsSnapshot.KIND, AssignmentsSnapshot::of);
   }
 
   @Test
   void givenEncodedSnapshot_whenLoadedIntoTheState_thenItsSnapshotHasTheSameBytes()
       throws ProtocolException {
-    List<GoldenMessages.Sample> snapshots =
-        GoldenMessages.samples(ReplicatedStateSnapshot.KIND).stream()
-            .filter(sample -> !sample.fields().contains("bale"))
-            .toList();
-
     GoldenMessages.assertRoundTrip(
-        snapshots,
+        snapshots(),
         encoded -> {
           ReplicatedState state = new ReplicatedState(60_000_000);
           state.load(encoded, 0);
--- a/src/test/java/org/otterpond/outlier/SlowWorkerDetectorTest.java
+++ b/src/test/java/org/otterpond/outlier/SlowWorkerDetectorTest.java
@@ -23,8 +23,8 @@
   private static final int RUNS = 20;
 
   /**
-   * Simulates a run long enough to fill the window and to confirm the result; returns the ids of the
-   * slow workers at its end.
+   * Simulates a run long enough to fill the window and to confirm the result; returns the ids of
+   * the slow workers at its end.
    */
   private static String slowWorkersOf(long seed, double alpha, boolean randomRouting) {
     Random random = new Random(seed);
