--- a/src/main/java/org/otterpond/control/epoch/EpochReplica.java
+++ b/src/main/java/org/otterpond/control/epoch/EpochReplica.java
@@ -318,15 +318,7 @@
       message.ifPresent(decoded -> dispatcher.dispatch(from, decoded));
       return message.isPresent();
     } catch (ProtocolException e) {
-      context
-          .runtime()
-          .event(
-              "event=message_malformed kind="
-                  + encoded.kind()
-                  + " from="
-                  + from
-                  + " cause="
-                  + e.getMessage());
+      context.runtime().malformedMessage(from, e);
       return true;
     }
   }
