--- a/src/main/java/org/otterpond/control/primary/ConfigurationWriteParser.java
+++ b/src/main/java/org/otterpond/control/primary/ConfigurationWriteParser.java
@@ -4,91 +4,116 @@
 import org.otterpond.config.ConfigException;
 import org.otterpond.config.ConfigurationParser;
 import org.otterpond.config.JsonFields;
+import org.otterpond.control.message.WriteConfigurationRequest;
 import org.otterpond.control.state.CompressedText;
 import org.otterpond.control.state.ParsedConfiguration;
 
 /**
- * Reads an operator's order, on top of what is in force. It touches nothing but what it is given.
+ * Parses a change of the configuration and applies it to the current one.
+ *
+ * <p>{@link #run} touches nothing but what the parser was created with, so it may run on any
+ * thread; the results are read after it has returned.
  */
 final class ConfigurationWriteParser implements Runnable {
-  private final String kind;
+  private static final String INCOMPLETE = "body: parsing did not complete";
+
+  private final boolean modifies;
   private final String text;
   private final ParsedConfiguration current;
   private final CompressedText currentText;
   private long revision;
-  private String unreadable = "body: not read to its end";
-  private String invalid;
+  private String bodyError = INCOMPLETE;
+  private String configurationError = INCOMPLETE;
   private ParsedConfiguration result;
-  private CompressedText packed;
+  private CompressedText resultText;
 
   /**
-   * @param current what is in force, if it has been read, else null
-   * @param currentText its text, or null if there is none
+   * Creates a parser.
+   *
+   * @param kind kind of the change, as in {@link WriteConfigurationRequest}
+   * @param text text of the change
+   * @param current the current configuration if it is parsed already, else null
+   * @param currentText its text, or null if there is no configuration
    */
   ConfigurationWriteParser(
       String kind, String text, ParsedConfiguration current, CompressedText currentText) {
-    this.kind = kind;
+    this.modifies = kind.equals(WriteConfigurationRequest.MODIFY);
     this.text = text;
     this.current = current;
     this.currentText = currentText;
   }
 
+  /** Whether parsing should run off the owner thread. */
   boolean isLong() {
-    return ParsedConfiguration.isLong(
-        text.length(), modifies() && currentText != null ? currentText.packed().length : 0);
+    int currentLength = modifies && currentText != null ? currentText.packed().length : 0;
+    return ParsedConfiguration.isLong(text.length(), currentLength);
+  }
+
+  /** Whether the change modifies the current configuration instead of replacing it. */
+  boolean modifies() {
+    return modifies;
   }
 
-  private boolean modifies() {
-    return kind.equals("modify");
+  /** Returns the text of the change. */
+  String text() {
+    return text;
   }
 
-  /** Why the body as such cannot be read; null if it can. */
-  String unreadable() {
-    return unreadable;
+  /** Returns why the text of the change cannot be read; null if it can. */
+  String bodyError() {
+    return bodyError;
   }
 
+  /** Returns the revision that the change makes; 0 if its text cannot be read. */
   long revision() {
     return revision;
   }
 
-  /** Why what it would make is no valid configuration; null if it is one. */
-  String invalid() {
-    return invalid;
+  /** Returns why the changed configuration is not valid; null if it is. */
+  String configurationError() {
+    return configurationError;
   }
 
+  /** Returns the changed configuration; null if there is an error. */
   ParsedConfiguration result() {
     return result;
   }
 
-  CompressedText packed() {
-    return packed;
+  /** Returns the text of the changed configuration; null if there is an error. */
+  CompressedText resultText() {
+    return resultText;
   }
 
   @Override
   public void run() {
-    JsonObject given;
+    JsonObject change;
     try {
-      given = JsonFields.parse(text);
-      revision = JsonFields.of(given, "").whole("revision", 1, Long.MAX_VALUE);
-      unreadable = null;
+      change = JsonFields.parse(text);
+      revision = JsonFields.of(change, "").whole("revision", 1, Long.MAX_VALUE);
+      bodyError = null;
     } catch (ConfigException e) {
-      unreadable = e.getMessage();
+      bodyError = e.getMessage();
       return;
     }
-    invalid = "body: not read to its end";
     try {
-      JsonObject whole = modifies() ? ConfigurationParser.modify(currentWhole(), given) : given;
-      String full = whole.toString();
-      result =
-          new ParsedConfiguration(revision, whole, ConfigurationParser.read(whole), full.length());
-      packed = CompressedText.of(full);
-      invalid = null;
+      apply(change);
+      configurationError = null;
     } catch (ConfigException e) {
-      invalid = e.getMessage();
+      configurationError = e.getMessage();
     }
   }
 
-  private JsonObject currentWhole() throws ConfigException {
+  private void apply(JsonObject change) throws ConfigException {
+    JsonObject changed =
+        modifies ? ConfigurationParser.modify(currentConfiguration(), change) : change;
+    String changedText = changed.toString();
+    result =
+        new ParsedConfiguration(
+            revision, changed, ConfigurationParser.read(changed), changedText.length());
+    resultText = CompressedText.of(changedText);
+  }
+
+  private JsonObject currentConfiguration() throws ConfigException {
     if (current != null) {
       return current.whole();
     }
--- a/src/main/java/org/otterpond/control/primary/ControlPlaneSettings.java
+++ b/src/main/java/org/otterpond/control/primary/ControlPlaneSettings.java
@@ -4,9 +4,13 @@
 import org.otterpond.keyrange.KeyRangeLeaseSettings;
 
 /**
- * What the deployment demands of the control side.
+ * Settings of the control plane.
  *
- * @param losses what may be lost at once
+ * @param heartbeatMicros time between the heartbeats of a worker
+ * @param keyWindowMicros how long the lock of an idempotency key lasts
+ * @param losses which faults at once the core must survive
+ * @param quota settings of the quotas
+ * @param hold settings of the leases of key ranges
  */
 public record ControlPlaneSettings(
     long heartbeatMicros,
@@ -14,7 +18,13 @@
     FaultTolerance losses,
     QuotaSettings quota,
     KeyRangeLeaseSettings hold) {
-  /** Where no service is divided by keys. */
+  /** Nodes use tokens for this much less than the owner counts them as outstanding. */
+  public static final long LENT_MARGIN = 50_000;
+
+  private static final long DEFAULT_KEY_RANGE_LEASE_MICROS = 10_000_000;
+  private static final long DEFAULT_KEY_RANGE_THAW_MICROS = 300_000;
+
+  /** Creates settings of a deployment in which no service is partitioned by key. */
   public ControlPlaneSettings(
       long heartbeatMicros, long keyWindowMicros, FaultTolerance losses, QuotaSettings quota) {
     this(
@@ -22,15 +32,12 @@
         keyWindowMicros,
         losses,
         quota,
-        KeyRangeLeaseSettings.of(10_000_000, 300_000));
+        KeyRangeLeaseSettings.of(DEFAULT_KEY_RANGE_LEASE_MICROS, DEFAULT_KEY_RANGE_THAW_MICROS));
   }
 
-  /** Where machines may be lost and no more of a zone than of any place. */
+  /** Creates settings of a deployment that is to survive the loss of some machines. */
   public ControlPlaneSettings(
       long heartbeatMicros, long keyWindowMicros, int machines, QuotaSettings quota) {
     this(heartbeatMicros, keyWindowMicros, FaultTolerance.ofMachines(machines), quota);
   }
-
-  /** Tokens are used for a little less long than the owner counts them as out. */
-  public static final long LENT_MARGIN = 50_000;
 }
--- a/src/main/java/org/otterpond/control/primary/CoreMembership.java
+++ b/src/main/java/org/otterpond/control/primary/CoreMembership.java
@@ -1,185 +1,228 @@
 package org.otterpond.control.primary;
 
 import java.util.ArrayList;
-import java.util.HashMap;
+import java.util.Collections;
+import java.util.Comparator;
 import java.util.List;
-import java.util.Map;
-import org.otterpond.control.epoch.EpochReplica;
 import org.otterpond.control.state.CoreMember;
 import org.otterpond.control.state.EpochRecord;
 import org.otterpond.control.state.FaultTolerance;
 import org.otterpond.runtime.NodeRuntime;
 
 /**
- * Who should be a member of the core next, as its primary sees it. One disk is taken in or one put
- * out at a time, or one for another, so that the majorities before and after meet.
+ * Changes the members of the core as its primary: replaces dead members, grows the core to the size
+ * that the faults to be survived require, and spreads it over the zones. Each change adds one
+ * member, removes one, or replaces one by another, so that the majorities before and after
+ * intersect.
  */
 final class CoreMembership {
-  private static final long DEAD = 1_500_000;
+  /** A member that is silent for this long is dead, and replaced if there is a replacement. */
+  static final long DEAD_AFTER_MICROS = 1_500_000;
 
-  /**
-   * A member that nobody replaces may come back; if the core is larger than it need be it is waited
-   * for this long.
-   */
-  private static final long DROP = 2_500_000;
+  /** Without a replacement a dead member may come back; a core that is too large waits so long. */
+  private static final long REMOVED_AFTER_MICROS = 2_500_000;
 
   /**
-   * Silent for so long, a member may be dead: nobody is added beside it, lest the dead one and the
-   * new count both.
+   * A member that is silent for this long may be dead. No member is added meanwhile, as the dead
+   * one and the new one would both count.
    */
-  private static final long DOUBTFUL = 500_000;
+  private static final long SUSPECTED_AFTER_MICROS = 500_000;
 
-  private static final long SEEN = 500_000;
-  private static final long AGAIN = 500_000;
+  /** A node must have had its lease for this long before it joins. */
+  private static final long PROBATION_MICROS = 500_000;
 
-  /**
-   * A newcomer that was tried and is no member is left alone for so long, twice as long after each
-   * try more.
-   */
-  private static final long RETRY = 1_000_000;
+  private static final long CHANGE_INTERVAL_MICROS = 500_000;
 
-  private static final int MOST_DOUBLINGS = 4;
+  private final NodeRuntime runtime;
+  private final Core core;
+  private final FaultTolerance faults;
+  private final JoinBackoff backoff = new JoinBackoff();
+  private long changedAtMicros;
 
-  /** A machine with a disk that holds a lease and is no member. */
-  record Newcomer(CoreMember member, long firstSeen) {}
+  /** What this class needs of the core's replica on this node. */
+  interface Core {
+    /** Returns the epoch in force. */
+    EpochRecord record();
 
-  private record Tried(long at, int times) {
-    boolean rests(long now) {
-      return now - at < RETRY << Math.min(MOST_DOUBLINGS, times - 1);
-    }
+    /** Whether a member was not heard for some time. */
+    boolean isSilent(CoreMember member, long micros);
+
+    /** Whether a member is shutting down. */
+    boolean isLeaving(CoreMember member);
+
+    /** Begins an epoch with other members. */
+    void changeMembers(List<CoreMember> members);
   }
 
-  private final NodeRuntime runtime;
-  private final EpochReplica watch;
-  private final FaultTolerance losses;
-  private final Map<String, Tried> tried = new HashMap<>();
-  private long changedAt;
+  /**
+   * A node with a disk that has a lease.
+   *
+   * @param firstPolledAtMicros when the first poll of its incarnation arrived
+   */
+  record JoinCandidate(CoreMember member, long firstPolledAtMicros) {}
 
-  CoreMembership(NodeRuntime runtime, EpochReplica watch, FaultTolerance losses) {
+  CoreMembership(NodeRuntime runtime, Core core, FaultTolerance faults) {
     this.runtime = runtime;
-    this.watch = watch;
-    this.losses = losses;
+    this.core = core;
+    this.faults = faults;
   }
 
-  void tick(List<Newcomer> there) {
+  /**
+   * Makes the next change, if one is due.
+   *
+   * @param candidates the nodes with a disk, the present members among them
+   */
+  void tick(List<JoinCandidate> candidates) {
     long now = runtime.now();
-    if (now - changedAt < AGAIN) {
+    if (now - changedAtMicros < CHANGE_INTERVAL_MICROS) {
       return;
     }
-    EpochRecord r = watch.record();
-    List<CoreMember> members = r.members();
-    members.forEach(m -> tried.remove(m.diskId()));
-    List<CoreMember> fresh = new ArrayList<>();
-    for (Newcomer n : there) {
-      Tried t = tried.get(n.member().diskId());
-      if (t != null && t.rests(now) || r.hasMember(n.member().diskId())) {
-        continue;
-      }
-      CoreMember old = at(members, n.member().address());
-      if (old != null) {
-        // The machine came back without its disk: what that held votes no more.
-        change(r, n.member(), old);
-        return;
-      }
-      if (now - n.firstSeen() > SEEN) {
-        fresh.add(n.member());
+    EpochRecord epoch = core.record();
+    backoff.joined(epoch.members());
+    List<JoinCandidate> eligible =
+        candidates.stream()
+            .filter(candidate -> !epoch.hasMember(candidate.member().diskId()))
+            .filter(candidate -> backoff.mayTry(candidate.member(), now))
+            .toList();
+    if (replaceWipedDisk(epoch, eligible)) {
+      return;
+    }
+    List<CoreMember> joinable =
+        eligible.stream()
+            .filter(candidate -> now - candidate.firstPolledAtMicros() > PROBATION_MICROS)
+            .map(JoinCandidate::member)
+            .toList();
+    replaceOrReshape(epoch, joinable);
+  }
+
+  /** Replaces the member at the address of a node that came back with another disk. */
+  private boolean replaceWipedDisk(EpochRecord epoch, List<JoinCandidate> eligible) {
+    for (JoinCandidate candidate : eligible) {
+      CoreMember member = candidate.member();
+      for (CoreMember former : epoch.members()) {
+        if (former.address().equals(member.address())) {
+          change(epoch, member, former);
+          return true;
+        }
       }
     }
-    CoreMember dead = missing(r, fresh.isEmpty() ? DROP : DEAD);
-    if (!fresh.isEmpty() && dead != null) {
-      change(r, best(members, fresh, dead), dead);
-    } else if (dead != null && members.size() > r.target()) {
-      change(r, null, dead);
-    } else if (missing(r, DOUBTFUL) == null) {
-      reshape(r, fresh);
+    return false;
+  }
+
+  private void replaceOrReshape(EpochRecord epoch, List<CoreMember> joinable) {
+    List<CoreMember> members = epoch.members();
+    CoreMember dead = findDead(epoch, !joinable.isEmpty());
+    if (!joinable.isEmpty() && dead != null) {
+      change(epoch, bestCandidate(members, joinable, dead), dead);
+    } else if (dead != null && members.size() > epoch.target()) {
+      change(epoch, null, dead);
+    } else if (findSilent(epoch, SUSPECTED_AFTER_MICROS) == null) {
+      reshape(epoch, joinable);
     }
   }
 
-  private static CoreMember at(List<CoreMember> members, String address) {
-    return members.stream().filter(m -> m.address().equals(address)).findFirst().orElse(null);
+  /** Returns a dead member; with a replacement also one that is shutting down; null if none. */
+  private CoreMember findDead(EpochRecord epoch, boolean replaceable) {
+    if (!replaceable) {
+      return findSilent(epoch, REMOVED_AFTER_MICROS);
+    }
+    return others(epoch).stream()
+        .filter(member -> core.isSilent(member, DEAD_AFTER_MICROS) || core.isLeaving(member))
+        .findFirst()
+        .orElse(null);
   }
 
-  /**
-   * A member that has been silent for so long; where somebody waits for its place, also one that is
-   * leaving.
-   */
-  private CoreMember missing(EpochRecord r, long span) {
-    return r.members().stream()
-        .filter(
-            m ->
-                !m.diskId().equals(r.primary().diskId())
-                    && (watch.silent(m, span) || span == DEAD && watch.leaving(m)))
+  private CoreMember findSilent(EpochRecord epoch, long micros) {
+    return others(epoch).stream()
+        .filter(member -> core.isSilent(member, micros))
         .findFirst()
         .orElse(null);
   }
 
-  private CoreMember best(List<CoreMember> members, List<CoreMember> fresh, CoreMember instead) {
-    CoreMember best = null;
-    int most = Integer.MIN_VALUE;
-    for (CoreMember b : fresh) {
-      int margin = losses.margin(changed(members, b, instead));
-      if (margin > most) {
-        best = b;
-        most = margin;
-      }
+  private static List<CoreMember> others(EpochRecord epoch) {
+    return epoch.members().stream()
+        .filter(member -> !member.diskId().equals(epoch.primary().diskId()))
+        .toList();
+  }
+
+  /** Returns the candidate with which the core survives most faults; null if there is none. */
+  private CoreMember bestCandidate(
+      List<CoreMember> members, List<CoreMember> joinable, CoreMember removed) {
+    // Of several equal ones max returns the last, so they are compared in reverse order.
+    List<CoreMember> lastFirst = new ArrayList<>(joinable);
+    Collections.reverse(lastFirst);
+    return lastFirst.stream()
+        .max(
+            Comparator.comparingInt(
+                candidate -> faults.margin(changed(members, candidate, removed))))
+        .orElse(null);
+  }
+
+  /** With all members heard recently: grows the core, or spreads it better over the zones. */
+  private void reshape(EpochRecord epoch, List<CoreMember> joinable) {
+    if (faults.margin(epoch.members()) >= 0) {
+      grow(epoch, joinable);
+    } else {
+      spread(epoch, joinable);
     }
-    return best;
   }
 
-  /**
-   * With every member in touch: grows, and leaves nowhere so many that a loss to be borne takes a
-   * majority.
-   */
-  private void reshape(EpochRecord r, List<CoreMember> fresh) {
-    List<CoreMember> members = r.members();
-    if (losses.margin(members) >= 0) {
-      CoreMember b = best(members, fresh, null);
-      if (b != null
-          && members.size() < losses.mostMembers()
-          && losses.margin(changed(members, b, null)) >= 0) {
-        change(r, b, null);
-      }
-      return;
+  private void grow(EpochRecord epoch, List<CoreMember> joinable) {
+    List<CoreMember> members = epoch.members();
+    CoreMember candidate = bestCandidate(members, joinable, null);
+    if (candidate != null
+        && members.size() < faults.mostMembers()
+        && faults.margin(changed(members, candidate, null)) >= 0) {
+      change(epoch, candidate, null);
     }
-    List<CoreMember> all = new ArrayList<>(members);
-    // The primary first: it is the last to be put out.
-    all.remove(r.primary());
-    all.add(0, r.primary());
-    all.addAll(fresh);
-    List<CoreMember> wanted = losses.members(all);
-    CoreMember in = fresh.stream().filter(wanted::contains).findFirst().orElse(null);
-    CoreMember out =
-        losses.margin(wanted) <= losses.margin(members)
+  }
+
+  /** Moves toward the members with which no fault to be survived takes a majority. */
+  private void spread(EpochRecord epoch, List<CoreMember> joinable) {
+    List<CoreMember> members = epoch.members();
+    List<CoreMember> wanted = faults.members(removalOrder(epoch, joinable));
+    CoreMember added = joinable.stream().filter(wanted::contains).findFirst().orElse(null);
+    CoreMember removed =
+        faults.margin(wanted) <= faults.margin(members)
             ? null
             : members.stream()
-                .filter(m -> !wanted.contains(m) && !m.equals(r.primary()))
+                .filter(member -> !wanted.contains(member) && !member.equals(epoch.primary()))
                 .findFirst()
                 .orElse(null);
-    if (in != null || out != null) {
-      change(r, in, out);
+    if (added != null || removed != null) {
+      change(epoch, added, removed);
     }
   }
 
-  private static List<CoreMember> changed(List<CoreMember> members, CoreMember in, CoreMember out) {
-    List<CoreMember> next = new ArrayList<>(members);
-    next.remove(out);
-    if (in != null) {
-      next.add(in);
+  /** All members and candidates; the primary is first, as it is removed last. */
+  private static List<CoreMember> removalOrder(EpochRecord epoch, List<CoreMember> joinable) {
+    List<CoreMember> all = new ArrayList<>(epoch.members());
+    all.remove(epoch.primary());
+    all.add(0, epoch.primary());
+    all.addAll(joinable);
+    return all;
+  }
+
+  private static List<CoreMember> changed(
+      List<CoreMember> members, CoreMember added, CoreMember removed) {
+    List<CoreMember> changed = new ArrayList<>(members);
+    changed.remove(removed);
+    if (added != null) {
+      changed.add(added);
     }
-    return List.copyOf(next);
+    return List.copyOf(changed);
   }
 
-  private void change(EpochRecord r, CoreMember in, CoreMember out) {
-    changedAt = runtime.now();
-    if (in != null) {
-      tried.merge(
-          in.diskId(), new Tried(changedAt, 1), (a, b) -> new Tried(changedAt, a.times() + 1));
+  private void change(EpochRecord epoch, CoreMember added, CoreMember removed) {
+    changedAtMicros = runtime.now();
+    if (added != null) {
+      backoff.attempted(added, changedAtMicros);
     }
-    runtime.event(
-        "event=core_change in="
-            + (in == null ? "none" : in.name())
-            + " out="
-            + (out == null ? "none" : out.name()));
-    watch.changeMembers(changed(r.members(), in, out));
+    runtime.event("event=core_change in=" + nameOf(added) + " out=" + nameOf(removed));
+    core.changeMembers(changed(epoch.members(), added, removed));
+  }
+
+  private static String nameOf(CoreMember member) {
+    return member == null ? "none" : member.name();
   }
 }
--- a/src/main/java/org/otterpond/control/primary/DataPlane.java
+++ b/src/main/java/org/otterpond/control/primary/DataPlane.java
@@ -8,42 +8,59 @@
 import org.otterpond.keyrange.KeyRangeRuntime;
 import org.otterpond.protocol.WireRecord;
 
-/** The data plane, as the control side sees it: it is handed news. */
+/**
+ * The data plane of a node as the control plane sees it: it takes updates, and answers what only
+ * the data plane knows. All calls are made on the owner thread.
+ */
 public interface DataPlane {
+  /** Takes the configuration that is in force from now on. */
   void configured(GatewayConfiguration configuration);
 
+  /** Takes the changed state of a worker instance. */
   void worker(WorkerInstance worker);
 
-  /** How many nodes hold a lease in each zone, and this node's place among those of its own. */
+  /**
+   * Takes the size of the fleet.
+   *
+   * @param nodesInZone number of nodes with a lease in each zone
+   * @param rank position of this node among those of its zone, from 0
+   */
   void fleet(Map<String, Integer> nodesInZone, int rank);
 
-  /** An assignment that the core has written, newer than the one told before under its key. */
+  /** Takes a committed assignment, newer than the one before under its key. */
   default void assigned(WireRecord entry) {
-    // A node that neither routes by them nor holds any has no use for them.
+    // A node that neither routes by assignments nor is assigned anything has no use for them.
   }
 
   /**
-   * A message that is none of the control side's; whoever sent it waits for the reply if it takes
-   * one.
+   * Takes a message that the control plane does not handle.
+   *
+   * @param from address of the sender
+   * @param reply sends a reply to a message that requires one
    */
   default void message(String from, WireRecord message, Consumer<WireRecord> reply) {
-    // Nothing here takes any.
+    // A node without message store or replica groups handles none.
   }
 
   /**
-   * How often keys of divided services were asked for here since the last time; goes with the next
-   * poll.
+   * Returns and resets the number of requests by key of partitioned services, which are reported
+   * with the next poll.
    */
   default List<WireRecord> heat() {
     return List.of();
   }
 
-  /** What a machine that stores messages tells of itself with its polls; null if this is none. */
+  /** Returns the figures of this node's message store, or null if it has none. */
   default WireRecord figures() {
     return null;
   }
 
-  /** Calls a worker for the keeper of the key ranges. */
+  /**
+   * Calls a worker for the key range manager.
+   *
+   * @param timeout micros until the call is given up
+   * @param answer gets the answer, with status 0 if there was none
+   */
   default void callWorker(
       String address,
       String instance,
@@ -54,14 +71,18 @@
     answer.accept(new KeyRangeRuntime.Answer(0, null, false));
   }
 
-  /** The connection to a node is gone. */
+  /** Notes that the connection to a node was closed. */
   default void peerLost(String address) {
-    // Only those that hold copies together look after each other.
+    // Only the members of replica groups monitor each other.
   }
 
   /**
-   * How the run of that claim went, as this node knows: "answer" with the answer kept, "working",
-   * "unknown" if it may have run without a known outcome; null if nothing is known of it.
+   * Returns the outcome of an execution under the lock of an idempotency key.
+   *
+   * @param token identity of the attempt that held the lock
+   * @return a record of the kind "answer" with the stored response, "working" while it is executed,
+   *     "unrun" if it was not executed, "unknown" if its outcome is not known; null if nothing is
+   *     known of the attempt
    */
   WireRecord outcome(String key, String token);
 }
--- /dev/null
+++ b/src/main/java/org/otterpond/control/primary/GroupReconfiguration.java
@@ -0,0 +1,113 @@
+package org.otterpond.control.primary;
+
+import java.util.function.Consumer;
+import org.otterpond.control.message.AcknowledgedReply;
+import org.otterpond.control.message.CandidateFailedRequest;
+import org.otterpond.control.message.PrimaryReply;
+import org.otterpond.control.message.ReconfigureGroupReply;
+import org.otterpond.control.message.ReconfigureGroupRequest;
+import org.otterpond.protocol.WireRecord;
+import org.otterpond.replication.GroupConfiguration;
+import org.otterpond.runtime.NodeRuntime;
+
+/**
+ * Installs the configurations that members of replica groups propose: the first proposal for each
+ * version.
+ */
+final class GroupReconfiguration {
+  private static final String NUMBER = "no";
+
+  private final NodeRuntime runtime;
+  private final AssignmentState state;
+  private final LeadershipProof proof;
+  private final AvoidedMembers avoided;
+  private final Runnable onProposal;
+
+  /**
+   * Creates the service.
+   *
+   * @param avoided gets the members that their groups removed
+   * @param onProposal runs when a proposal is written, as replicas may be lacking then
+   */
+  GroupReconfiguration(
+      NodeRuntime runtime,
+      AssignmentState state,
+      LeadershipProof proof,
+      AvoidedMembers avoided,
+      Runnable onProposal) {
+    this.runtime = runtime;
+    this.state = state;
+    this.proof = proof;
+    this.avoided = avoided;
+    this.onProposal = onProposal;
+  }
+
+  /** Handles a proposal; one for another version than the next gets the configuration in force. */
+  void reconfigure(ReconfigureGroupRequest request, Consumer<PrimaryReply> reply) {
+    GroupConfiguration proposed = request.configuration();
+    WireRecord entry = state.replicated().get(PartitionAssignments.key(proposed.group()));
+    if (entry == null) {
+      proof.confirmed(reply).accept(new ReconfigureGroupReply(false, null));
+      return;
+    }
+    GroupConfiguration current = GroupConfiguration.of(entry);
+    if (proposed.version() != current.version() + 1) {
+      replyCommitted(entry, reply);
+      return;
+    }
+    avoidRemoved(current, proposed);
+    onProposal.run();
+    GroupConfiguration next =
+        new GroupConfiguration(
+            proposed.group(),
+            proposed.version(),
+            proposed.primary(),
+            proposed.secondaries(),
+            current.wanted());
+    state
+        .writer()
+        .assign(
+            PartitionAssignments.entry(next, PartitionAssignments.partitionCount(entry)),
+            () -> installed(next, reply));
+  }
+
+  /** A configuration whose commit is pending is not sent; the proposer asks again. */
+  private void replyCommitted(WireRecord entry, Consumer<PrimaryReply> reply) {
+    WireRecord committed = state.committed().get(entry.text("key"));
+    if (committed != null && committed.number(NUMBER) == entry.number(NUMBER)) {
+      proof
+          .confirmed(reply)
+          .accept(new ReconfigureGroupReply(false, GroupConfiguration.of(committed)));
+    }
+  }
+
+  private void avoidRemoved(GroupConfiguration current, GroupConfiguration proposed) {
+    for (String member : current.members()) {
+      if (!proposed.has(member) && current.wanted().contains(member)) {
+        avoided.add(current.group(), member, runtime.now());
+      }
+    }
+  }
+
+  private void installed(GroupConfiguration group, Consumer<PrimaryReply> reply) {
+    runtime.event(
+        "event=group_configured group="
+            + group.group()
+            + " version="
+            + group.version()
+            + " primary="
+            + group.primary()
+            + " secondaries="
+            + group.secondaries().size());
+    reply.accept(new ReconfigureGroupReply(true, group));
+  }
+
+  /** Handles the report that a candidate could not be brought up to date. */
+  void candidateFailed(CandidateFailedRequest request, Consumer<PrimaryReply> reply) {
+    WireRecord entry = state.replicated().get(PartitionAssignments.key(request.group()));
+    if (entry != null && !GroupConfiguration.of(entry).has(request.member())) {
+      avoided.add(request.group(), request.member(), runtime.now());
+    }
+    proof.confirmed(reply).accept(new AcknowledgedReply());
+  }
+}
--- a/src/main/java/org/otterpond/control/primary/PrimaryKeyRangeRuntime.java
+++ b/src/main/java/org/otterpond/control/primary/PrimaryKeyRangeRuntime.java
@@ -11,25 +11,25 @@
 import org.otterpond.protocol.WireRecord;
 import org.otterpond.runtime.NodeRuntime;
 
-/** The core's primary, as the keeper of the key ranges sees it. */
+/** The runtime of the key range manager on the core's primary. */
 final class PrimaryKeyRangeRuntime implements KeyRangeRuntime {
   private final NodeRuntime runtime;
   private final DataPlane dataPlane;
-  private final EpochReplica watch;
-  private final WorkerRegistry register;
-  private final ReplicaPlacement.Writer writer;
+  private final EpochReplica replica;
+  private final WorkerRegistry registry;
+  private final AssignmentWriter assignments;
 
   PrimaryKeyRangeRuntime(
       NodeRuntime runtime,
       DataPlane dataPlane,
-      EpochReplica watch,
-      WorkerRegistry register,
-      ReplicaPlacement.Writer writer) {
+      EpochReplica replica,
+      WorkerRegistry registry,
+      AssignmentWriter assignments) {
     this.runtime = runtime;
     this.dataPlane = dataPlane;
-    this.watch = watch;
-    this.register = register;
-    this.writer = writer;
+    this.replica = replica;
+    this.registry = registry;
+    this.assignments = assignments;
   }
 
   @Override
@@ -44,17 +44,17 @@
 
   @Override
   public boolean assign(WireRecord entry, Runnable durable) {
-    return writer.assign(entry, durable);
+    return assignments.assign(entry, durable);
   }
 
   @Override
   public boolean authority() {
-    return watch.authoritative();
+    return replica.authoritative();
   }
 
   @Override
   public long successorFrom() {
-    return watch.quietUntil();
+    return replica.quietUntil();
   }
 
   @Override
@@ -70,32 +70,36 @@
 
   @Override
   public Worker worker(String instance) {
-    WorkerInstance v = register.get(instance);
-    return v == null ? null : of(v);
+    WorkerInstance worker = registry.get(instance);
+    return worker == null ? null : convert(worker);
   }
 
-  private Worker of(WorkerInstance v) {
-    boolean alive = v.state().compareTo(WorkerState.LOST) < 0;
+  private Worker convert(WorkerInstance worker) {
+    boolean alive = isAlive(worker);
     return new Worker(
-        v.id(),
-        v.address(),
-        v.zone(),
-        v.slots(),
-        v.state() == WorkerState.IN_SERVICE,
+        worker.id(),
+        worker.address(),
+        worker.zone(),
+        worker.slots(),
+        worker.state() == WorkerState.IN_SERVICE,
         alive,
-        !alive && register.succeeded(v));
+        !alive && registry.isReplaced(worker));
+  }
+
+  private static boolean isAlive(WorkerInstance worker) {
+    return worker.state().compareTo(WorkerState.LOST) < 0;
   }
 
   @Override
   public List<Worker> workers(String service) {
-    List<WorkerInstance> out = new ArrayList<>();
-    for (WorkerInstance v : register.newerThan(0)) {
-      if (service.equals(v.service()) && v.state().compareTo(WorkerState.LOST) < 0) {
-        out.add(v);
+    List<WorkerInstance> workers = new ArrayList<>();
+    for (WorkerInstance worker : registry.newerThan(0)) {
+      if (service.equals(worker.service()) && isAlive(worker)) {
+        workers.add(worker);
       }
     }
-    out.sort(Comparator.comparing(WorkerInstance::id));
-    return out.stream().map(this::of).toList();
+    workers.sort(Comparator.comparing(WorkerInstance::id));
+    return workers.stream().map(this::convert).toList();
   }
 
   @Override
--- a/src/main/java/org/otterpond/control/primary/PrimaryServices.java
+++ b/src/main/java/org/otterpond/control/primary/PrimaryServices.java
@@ -1,854 +1,416 @@
 package org.otterpond.control.primary;
 
-import com.google.common.hash.Hashing;
-import java.nio.charset.StandardCharsets;
-import java.util.ArrayList;
-import java.util.HashMap;
 import java.util.HashSet;
-import java.util.Iterator;
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
 import java.util.function.Consumer;
 import org.otterpond.config.GatewayConfiguration;
+import org.otterpond.config.Service;
 import org.otterpond.control.epoch.EpochReplica;
+import org.otterpond.control.message.CandidateFailedRequest;
+import org.otterpond.control.message.ClaimKeyRequest;
+import org.otterpond.control.message.HeartbeatBatchRequest;
+import org.otterpond.control.message.LendTokensRequest;
+import org.otterpond.control.message.NodePoll;
+import org.otterpond.control.message.NotPrimaryReply;
+import org.otterpond.control.message.PrimaryReply;
+import org.otterpond.control.message.PrimaryRequest;
+import org.otterpond.control.message.ReadConfigurationRequest;
+import org.otterpond.control.message.ReconfigureGroupRequest;
+import org.otterpond.control.message.ReleaseKeyRequest;
+import org.otterpond.control.message.RetireNodeRequest;
+import org.otterpond.control.message.RetirementStatusRequest;
+import org.otterpond.control.message.StatusRequest;
+import org.otterpond.control.message.UnknownOperationReply;
+import org.otterpond.control.message.UnknownRequest;
+import org.otterpond.control.message.WorkerStateRequest;
+import org.otterpond.control.message.WriteConfigurationRequest;
 import org.otterpond.control.state.Assignments;
-import org.otterpond.control.state.CompressedText;
-import org.otterpond.control.state.ConfigurationUpdateParser;
 import org.otterpond.control.state.CoreMember;
 import org.otterpond.control.state.EpochAnnouncement;
 import org.otterpond.control.state.EpochRecord;
-import org.otterpond.control.state.IdempotencyKeyLock;
 import org.otterpond.control.state.ParsedConfiguration;
 import org.otterpond.control.state.WorkerInstance;
-import org.otterpond.control.state.WorkerState;
 import org.otterpond.keyrange.KeyRange;
 import org.otterpond.keyrange.KeyRangeManager;
-import org.otterpond.protocol.CompressedPayload;
 import org.otterpond.protocol.ProtocolException;
 import org.otterpond.protocol.WireRecord;
 import org.otterpond.runtime.NodeRuntime;
 
 /**
- * What the primary does for the nodes: leases and long polls, the worker table, configuration,
- * operation keys.
+ * The services of the core's primary, on each node with a core disk: assembles them, starts and
+ * stops them with the epochs, and passes polls and requests to them. While this node is not the
+ * primary, senders are redirected to the node that is.
  */
 public final class PrimaryServices {
-  private static final long LEASE = 2_500_000;
-  private static final long POLL_HOLD = 700_000;
-  private static final long EARLY_KEPT = 1_500_000;
-  private static final long DRAIN_WAIT = 800_000;
+  /** After this time the backups have confirmed the new epoch, which poll responses rest on. */
+  private static final long EPOCH_CONFIRMED_MICROS = 10_000;
 
-  /** So long after an epoch began, every node in touch has shown itself to the new primary. */
-  private static final long ALL_POLLED = 400_000;
-
-  private static final long FOLLOWED = 10_000;
-
-  /**
-   * An answer that tells of authority older than this is followed by another as soon as there is
-   * better to tell.
-   */
-  private static final long DOUBTFUL = 500_000;
-
-  private static final long EMPTY_AT_FIRST = 1_000_000;
-  private static final long MEMBER_DEAD = 1_500_000;
+  /** What is not known of the sender of a request. */
+  private static final String UNKNOWN_SENDER = "unknown";
 
   private final NodeRuntime runtime;
-  private final EpochReplica watch;
+  private final EpochReplica replica;
   private final CoreMember self;
-  private final WorkerRegistry register;
+  private final LeadershipProof proof;
+  private final RequestDispatcher dispatcher = new RequestDispatcher();
+
+  private final NodeLeaseTable leases;
+  private final EarlyPolls earlyPolls;
+  private final PollResponder responder;
+  private final WorkerRegistry registry;
+  private final CompressedWorkerTable workerTable;
+  private final WorkerReportHandler workerReports;
+  private final DrainAcknowledgements drains;
+  private final ConfigurationChanges configuration;
   private final QuotaOwner quotaOwner;
-  private final Map<String, Lease> leases = new HashMap<>();
-  private final Map<String, Early> early = new HashMap<>();
-  private final Map<String, List<Consumer<WireRecord>>> claimsInWriting = new HashMap<>();
-  private final List<DrainWait> drains = new ArrayList<>();
-
-  /** The assignments as committed, which is what may be told; the hold's own are a moment ahead. */
-  private Assignments committed = new Assignments();
-
-  private byte[] packedAssignments;
-  private long packedAssignmentNumber = -1;
+  private final QuotaLending quotaLending;
+  private final IdempotencyKeyLocks keyLocks;
+  private final CommittedAssignments assignments;
   private final ReplicaPlacement placement;
+  private final NodeRetirement retirement;
+  private final GroupReconfiguration reconfiguration;
   private final CoreMembership membership;
-  private final KeyRangeManager keeper;
-
-  private PendingWrite writing;
-
-  /** The newest version, if it has been read here. */
-  private ParsedConfiguration newest;
-
-  private final ConfigurationChangeLog changes = new ConfigurationChangeLog();
-  private boolean newsDue;
-  private long nodesVersion;
-  private FleetDigest plan;
-  private FleetDigest storePlan;
-  private long beganAt;
+  private final KeyRangeManager keyRanges;
+  private final StatusReport statusReport;
 
   /**
-   * Names this node's unbroken time as primary; running totals of lent tokens belong to one term.
+   * Creates the services; they are idle until an epoch of this node begins.
+   *
+   * @param runtime the node's runtime
+   * @param replica the node's replica of the core's state
+   * @param self the node as a member of the core
+   * @param dataPlane the node's data plane, which calls workers
+   * @param settings settings of the control plane
    */
-  private long term;
-
-  private long quotaOwnerTicked;
-  private byte[] packedTable;
-  private long packedVersion;
-  private long packedAt;
-
-  private static final class Lease {
-    WireRecord poll;
-    boolean waiting;
-    long at;
-    long heldSince;
-    long tableVersion;
-    long nodesVersion = -1;
-    long firstSeen;
-    boolean doubtful;
-  }
-
-  private record Early(WireRecord poll, long at) {}
-
-  private static final class DrainWait {
-    long version;
-    long deadline;
-    boolean durable;
-    Consumer<WireRecord> reply;
-  }
-
-  private static final class PendingWrite {
-    String digest;
-    final List<Consumer<WireRecord>> replies = new ArrayList<>();
-  }
-
   public PrimaryServices(
       NodeRuntime runtime,
-      EpochReplica watch,
+      EpochReplica replica,
       CoreMember self,
       DataPlane dataPlane,
-      ControlPlaneSettings terms) {
+      ControlPlaneSettings settings) {
     this.runtime = runtime;
-    this.watch = watch;
+    this.replica = replica;
     this.self = self;
-    this.register = new WorkerRegistry(terms.heartbeatMicros());
-    this.quotaOwner = new QuotaOwner(terms.quota());
-    this.placement =
+    this.proof = replica::confirm;
+    leases = new NodeLeaseTable(runtime);
+    earlyPolls = new EarlyPolls(runtime);
+    registry = new WorkerRegistry(settings.heartbeatMicros());
+    workerTable = new CompressedWorkerTable(runtime, registry);
+    drains = new DrainAcknowledgements(runtime, leases::smallestWorkerTableVersion);
+    workerReports = new WorkerReportHandler(runtime, registry, drains, new WorkerReportCore());
+    configuration = new ConfigurationChanges(runtime, replica, proof, new ConfigurationListener());
+    quotaOwner = new QuotaOwner(settings.quota());
+    quotaLending = new QuotaLending(runtime, new LendingAuthority(), quotaOwner);
+    keyLocks = new IdempotencyKeyLocks(replica.hold(), replica::propose, proof, quotaLending);
+    assignments = new CommittedAssignments(replica::propose, this::respondSoon);
+    AvoidedMembers avoided = new AvoidedMembers();
+    PrimaryAssignments assignmentState = new PrimaryAssignments();
+    placement =
         new ReplicaPlacement(
-            runtime, terms.losses().machines(), terms.losses().zones(), this::assign);
-    this.membership = new CoreMembership(runtime, watch, terms.losses());
-    this.keeper =
+            runtime,
+            settings.losses().machines(),
+            settings.losses().zones(),
+            assignmentState,
+            avoided);
+    retirement = new NodeRetirement(runtime, assignmentState, proof, placement.replicas());
+    reconfiguration =
+        new GroupReconfiguration(runtime, assignmentState, proof, avoided, placement::stepSoon);
+    membership = new CoreMembership(runtime, new MembershipCore(), settings.losses());
+    keyRanges =
         new KeyRangeManager(
-            new PrimaryKeyRangeRuntime(runtime, dataPlane, watch, register, this::assign),
-            terms.hold());
-  }
+            new PrimaryKeyRangeRuntime(runtime, dataPlane, replica, registry, assignments),
+            settings.hold());
+    responder =
+        new PollResponder(
+            runtime,
+            replica,
+            leases,
+            new PollResponder.Sources(registry, workerTable, configuration, assignments));
+    statusReport =
+        new StatusReport(
+            runtime,
+            replica,
+            self,
+            leases,
+            new StatusReport.Sources(registry, quotaOwner, keyRanges, assignments));
+    registerHandlers();
+  }
+
+  private void registerHandlers() {
+    dispatcher.register(ClaimKeyRequest.class, keyLocks::claim);
+    dispatcher.register(ReleaseKeyRequest.class, keyLocks::release);
+    dispatcher.register(LendTokensRequest.class, quotaLending::lend);
+    dispatcher.register(WorkerStateRequest.class, workerReports::workerState);
+    dispatcher.register(HeartbeatBatchRequest.class, workerReports::heartbeats);
+    dispatcher.register(ReconfigureGroupRequest.class, reconfiguration::reconfigure);
+    dispatcher.register(CandidateFailedRequest.class, reconfiguration::candidateFailed);
+    dispatcher.register(
+        RetireNodeRequest.class,
+        (request, reply) -> retirement.retire(request, leases.storageNodes(), reply));
+    dispatcher.register(RetirementStatusRequest.class, retirement::status);
+    dispatcher.register(WriteConfigurationRequest.class, configuration::write);
+    dispatcher.register(ReadConfigurationRequest.class, configuration::read);
+    dispatcher.register(
+        StatusRequest.class,
+        (request, reply) -> proof.confirm(proved -> reply.accept(statusReport.create(proved))));
+    dispatcher.register(
+        UnknownRequest.class,
+        (request, reply) -> reply.accept(new UnknownOperationReply("unknown operation")));
+  }
+
+  // ---------------------------------------------------------------- epochs
 
   /**
-   * @param held what is in force on this node
+   * Starts the services in an epoch whose primary is this node.
+   *
+   * @param continued whether this node was the primary of the epoch before, too
+   * @param active the configuration in force on this node
    */
-  public void began(boolean continued, ParsedConfiguration held) {
-    beganAt = runtime.now();
+  public void began(boolean continued, ParsedConfiguration active) {
     if (!continued) {
-      term = watch.record().epoch();
-      quotaOwner.reset();
+      quotaLending.beginTerm(replica.record().epoch());
     }
-    committed = watch.hold().assignments().copy();
-    packedAssignmentNumber = -1;
+    assignments.reset(replica.hold().assignments());
     placement.began();
-    stock(held);
-    register.reset(runtime.now());
-    watch
+    configuration.began(active);
+    loadWorkers();
+    keyRanges.began(assignments.current().under(KeyRange.PREFIX), continued);
+    endFormerLeases();
+    drains.began();
+    handleEarlyPolls();
+  }
+
+  private void loadWorkers() {
+    long now = runtime.now();
+    registry.reset(now);
+    workerTable.reset();
+    replica
         .hold()
         .workers()
-        .forEach(w -> register.take(WorkerInstance.of(w, runtime.now()), runtime.now()));
-    keeper.began(committed.under(KeyRange.PREFIX), continued);
-    // Their polls were of the epoch before, and are answered no more.
-    EpochAnnouncement begun = new EpochAnnouncement(watch.record());
-    leases.keySet().forEach(a -> runtime.send(a, begun));
+        .forEach(worker -> registry.update(WorkerInstance.of(worker, now), now));
+  }
+
+  /** Polls of the epoch before are not answered; their senders poll again in the new one. */
+  private void endFormerLeases() {
+    EpochAnnouncement announcement = new EpochAnnouncement(replica.record());
+    leases.forEach((address, lease) -> runtime.send(address, announcement));
     leases.clear();
-    drains.clear();
-    changes.clear();
-    packedVersion = -1;
-    nodesVersion++;
-    Map<String, Early> polls = new HashMap<>(early);
-    early.clear();
-    long now = runtime.now();
-    // An older one may be of a process, or of a disk, that is no more.
-    polls.values().removeIf(p -> now - p.at() > EARLY_KEPT);
-    // A moment later the backups have said that they follow, which the answers must tell.
+  }
+
+  private void handleEarlyPolls() {
+    Map<String, NodePoll> polls = earlyPolls.removeAll();
     runtime.after(
-        FOLLOWED,
+        EPOCH_CONFIRMED_MICROS,
         () ->
             polls.forEach(
-                (from, p) -> {
-                  if (!leases.containsKey(from)) {
-                    onPoll(from, p.poll());
+                (address, poll) -> {
+                  if (!leases.contains(address)) {
+                    handlePoll(address, poll);
                   }
                 }));
   }
 
+  /** Stops the services, as this node is not the primary any more. */
   public void steppedDown() {
-    claimsInWriting.clear();
+    keyLocks.steppedDown();
     drains.clear();
-    writing = null;
-    EpochRecord known = watch.known();
-    for (Map.Entry<String, Lease> e : leases.entrySet()) {
-      if (e.getValue().waiting) {
-        runtime.send(e.getKey(), new EpochAnnouncement(known));
-      }
-    }
+    configuration.steppedDown();
+    EpochAnnouncement announcement = new EpochAnnouncement(replica.known());
+    leases.forEach(
+        (address, lease) -> {
+          if (lease.isResponsePending()) {
+            runtime.send(address, announcement);
+          }
+        });
     leases.clear();
   }
 
-  // ----------------------------------------------------------------- polls
-
-  public void onPoll(String from, WireRecord poll) {
-    if (!watch.leading()) {
-      if (watch.known() != null && !watch.known().primary().diskId().equals(self.diskId())) {
-        runtime.send(from, new EpochAnnouncement(watch.known()));
-      } else {
-        // This node is about to lead, as far as anybody knows: the poll is answered once it does.
-        early.put(from, new Early(poll, runtime.now()));
-      }
+  /** Does what is due; called regularly. */
+  public void tick() {
+    if (!replica.leading()) {
       return;
     }
-    long now = runtime.now();
-    Lease l = leases.get(from);
-    if (l == null || (l.poll.number("life") != poll.number("life"))) {
-      l = new Lease();
-      l.firstSeen = now;
-      leases.put(from, l);
-      nodesVersion++;
-    }
-    l.poll = poll;
-    l.at = now;
-    l.heldSince = now;
-    l.waiting = true;
-    poll.records("heat").forEach(keeper::reported);
-    if (poll.has("tell")) {
-      poll.records("tell").forEach(f -> take(WorkerInstance.of(f, now)));
-    }
-    if (poll.number("epoch") == watch.record().epoch()) {
-      l.tableVersion = poll.number("table");
-    } else {
-      // Most nodes hold what this one holds: then neither needs to tell the other.
-      l.tableVersion = poll.number("sum") == register.sum() ? register.version() : 0;
-    }
-    checkDrains();
-    answer(from, l, false);
+    leases.expire(responder::respondIfDue);
+    workerReports.expire();
+    drains.sendDue();
+    membership.tick(leases.joinCandidates());
+    keyRanges.tick();
+    placement.tick(leases.storageNodes());
+    quotaLending.tick();
   }
 
-  private void newsDue() {
-    if (!newsDue) {
-      newsDue = true;
-      runtime.after(
-          5_000,
-          () -> {
-            newsDue = false;
-            if (watch.leading()) {
-              leases.forEach((a, l) -> answer(a, l, false));
-            }
-          });
+  // ----------------------------------------------------------------- polls
+
+  /** Handles an encoded poll; a malformed one is logged and dropped. */
+  public void onPoll(String from, WireRecord encoded) {
+    try {
+      handlePoll(from, NodePoll.of(encoded));
+    } catch (ProtocolException e) {
+      runtime.malformedMessage(from, e);
     }
   }
 
-  private void answer(String to, Lease l, boolean now) {
-    if (!l.waiting) {
+  private void handlePoll(String from, NodePoll poll) {
+    if (!replica.leading()) {
+      redirectPoll(from, poll);
       return;
     }
-    long epoch = watch.record().epoch();
-    boolean config = watch.committedRevision() > l.poll.number("cfg");
-    boolean table = register.version() > l.tableVersion;
-    // Who else is there is news for which nobody need be woken: it goes with the next answer.
-    boolean nodes = l.nodesVersion != nodesVersion;
-    boolean fresh = l.poll.number("epoch") != epoch;
-    boolean assigned = committed.number() > l.poll.number("as");
-    if (!config && !table && !assigned && !fresh && l.nodesVersion >= 0 && !now) {
-      return;
-    }
-    long back = Math.max(0, l.heldSince - watch.followedSince());
-    l.doubtful = back > DOUBTFUL;
-    WireRecord news =
-        new WireRecord("news")
-            .with("epoch", epoch)
-            .with("ver", register.version())
-            .with("pn", l.poll.number("pn"))
-            .with("rev", watch.committedRevision())
-            // How long before the poll came this node is known to have led.
-            .with("back", back);
-    if (fresh || nodes) {
-      if (plan == null || plan.version() != nodesVersion) {
-        plan = plan(false);
-        storePlan = plan(true);
-      }
-      FleetDigest own = l.poll.has("store") ? storePlan : plan;
-      news.with("record", watch.record().toWireRecord())
-          .with("fleet", own.toWireRecord(l.poll.text("zone"), to));
-      l.nodesVersion = nodesVersion;
-    }
-    if (config) {
-      byte[] whole = watch.packedText();
-      // Nodes of earlier versions do not say that they can use them.
-      List<WireRecord> since =
-          l.poll.truth("changes")
-              ? changes.between(l.poll.number("cfg"), watch.committedRevision(), whole.length)
-              : List.of();
-      news.with("cfg", watch.committedRevision());
-      if (since.isEmpty()) {
-        news.with("text", whole);
-      } else {
-        news.withRecords("changes", since);
-      }
-    }
-    if (table) {
-      if (l.tableVersion == 0) {
-        news.with("whole", packedTable());
-        news.with("want", l.poll.number("sum") != 0 ? true : null);
-      } else {
-        List<WireRecord> workers = new ArrayList<>();
-        register.newerThan(l.tableVersion).forEach(v -> workers.add(v.toWireRecord(runtime.now())));
-        news.withRecords("table", workers);
-      }
-    }
-    if (assigned) {
-      news.with("asno", committed.number());
-      if (l.poll.number("as") == 0) {
-        news.with("aswhole", packedAssignments());
-      } else {
-        news.withRecords("as", committed.newerThan(l.poll.number("as")));
-      }
-    }
-    l.waiting = false;
-    runtime.send(to, news);
+    NodeLease lease = leases.renew(from, poll);
+    poll.reports().keyLoads().forEach(keyRanges::reported);
+    workerReports.report(poll.reports().workers());
+    responder.noteKnownWorkers(lease);
+    drains.sendDue();
+    responder.respondIfUpdated(from, lease);
   }
 
-  private byte[] packedAssignments() {
-    if (packedAssignmentNumber != committed.number()) {
-      packedAssignments = CompressedPayload.pack(committed.snapshot());
-      packedAssignmentNumber = committed.number();
+  private void redirectPoll(String from, NodePoll poll) {
+    if (isOtherPrimaryKnown()) {
+      runtime.send(from, new EpochAnnouncement(replica.known()));
+    } else {
+      // This node may be about to become the primary.
+      earlyPolls.add(from, poll);
     }
-    return packedAssignments;
   }
 
-  /** Writes one assignment; it is told once it is committed. False if this node does not lead. */
-  private boolean assign(WireRecord entry, Runnable done) {
-    return watch.propose(
-        entry,
-        () -> {
-          committed.apply(entry);
-          newsDue();
-          done.run();
-        });
+  private boolean isOtherPrimaryKnown() {
+    EpochRecord known = replica.known();
+    return known != null && !known.primary().diskId().equals(self.diskId());
   }
 
-  /** The machines that store messages and hold a lease. */
-  private List<ReplicaPlacement.Store> stores() {
-    List<ReplicaPlacement.Store> out = new ArrayList<>();
-    leases.forEach(
-        (a, l) -> {
-          if (l.poll.has("store")) {
-            out.add(
-                new ReplicaPlacement.Store(
-                    l.poll.text("store"), a, l.poll.text("name"), l.poll.text("zone"), l.at));
-          }
-        });
-    return out;
+  private void respondSoon() {
+    responder.respondSoon();
   }
 
-  private FleetDigest plan(boolean stores) {
-    Map<String, WireRecord> polls = new HashMap<>();
-    leases.forEach(
-        (a, l) -> {
-          if (l.poll.has("store") == stores) {
-            polls.put(a, l.poll);
-          }
-        });
-    return FleetDigest.of(nodesVersion, polls);
-  }
+  // -------------------------------------------------------------- requests
 
   /**
-   * The whole table as it goes to every node that has none; warm-up times in it are a moment old at
-   * the most.
+   * Handles an encoded request; a malformed one is logged and dropped.
+   *
+   * @param reply gets the reply at once, later, or never if this node ceases to be the primary
    */
-  private byte[] packedTable() {
-    long now = runtime.now();
-    if (packedVersion != register.version() || now - packedAt > 1_000_000) {
-      List<WireRecord> workers = new ArrayList<>();
-      register.newerThan(0).forEach(v -> workers.add(v.toWireRecord(now)));
-      packedTable = CompressedPayload.pack(new WireRecord("table").withRecords("table", workers));
-      packedVersion = register.version();
-      packedAt = now;
-    }
-    return packedTable;
-  }
-
-  // ------------------------------------------------------------------ time
-
-  public void tick() {
-    if (!watch.leading()) {
-      return;
-    }
-    long now = runtime.now();
-    Iterator<Map.Entry<String, Lease>> it = leases.entrySet().iterator();
-    while (it.hasNext()) {
-      Map.Entry<String, Lease> e = it.next();
-      Lease l = e.getValue();
-      boolean better = l.doubtful && now - watch.followedSince() < DOUBTFUL;
-      if (l.waiting && (better || now - l.heldSince > POLL_HOLD)) {
-        answer(e.getKey(), l, true);
-      }
-      if (now - l.at > LEASE) {
-        runtime.event("event=lease_lapsed node=" + l.poll.text("name"));
-        it.remove();
-        nodesVersion++;
-      }
-    }
-    List<WorkerInstance> lost = register.expire(now);
-    lost.forEach(
-        v -> {
-          runtime.event("event=worker_lost instance=" + v.id() + " service=" + v.service());
-          keep(v, () -> {});
-        });
-    if (!lost.isEmpty()) {
-      newsDue();
-    }
-    checkDrains();
-    membership.tick(newcomers(now));
-    keeper.tick();
-    placement.tick(now, stores(), watch.hold().assignments());
-    if (now - quotaOwnerTicked > 1_000_000) {
-      quotaOwnerTicked = now;
-      quotaOwner.tick(now);
-    }
-  }
-
-  /** The machines with a disk that hold a lease and are no members of the core. */
-  private List<CoreMembership.Newcomer> newcomers(long now) {
-    List<CoreMembership.Newcomer> out = new ArrayList<>();
-    for (Lease l : leases.values()) {
-      String id = l.poll.text("disk");
-      if (id != null && !watch.record().hasMember(id) && now - l.at <= LEASE / 2) {
-        out.add(
-            new CoreMembership.Newcomer(
-                new CoreMember(id, l.poll.text("addr"), l.poll.text("name"), l.poll.text("zone")),
-                l.firstSeen));
-      }
-    }
-    return out;
-  }
-
-  // ------------------------------------------------------------------- ops
-
-  /** Serves one asked operation; the reply may come later, or never if the duty is lost. */
-  public void serve(WireRecord ask, Consumer<WireRecord> reply) {
-    if (!watch.leading()) {
-      // Mid-change the asker asks again by itself; elsewhere it learns whom to ask.
-      if (watch.known() != null && !watch.known().primary().diskId().equals(self.diskId())) {
-        reply.accept(
-            new WireRecord("reply")
-                .with("moved", true)
-                .with("record", watch.known().toWireRecord()));
-      }
+  public void serve(WireRecord encoded, Consumer<WireRecord> reply) {
+    Consumer<PrimaryReply> typedReply = message -> reply.accept(message.toWireRecord());
+    if (!replica.leading()) {
+      redirectRequest(typedReply);
       return;
     }
-    switch (ask.text("op")) {
-      case "claim" -> claim(ask, reply);
-      case "free" -> free(ask, reply);
-      case "lend" -> {
-        List<WireRecord> lent = new ArrayList<>();
-        ask.records("tenants").forEach(t -> lent.add(lend(ask, t)));
-        reply.accept(new WireRecord("reply").with("term", term).withRecords("lent", lent));
-      }
-      case "beat" -> beat(ask, reply);
-      case "beats" -> {
-        ask.records("beats").forEach(f -> take(WorkerInstance.of(f, runtime.now())));
-        // Told again to whoever leads, unless it was this node.
-        watch.confirmLater(
-            ok -> {
-              if (ok) {
-                reply.accept(new WireRecord("reply"));
-              }
-            });
-      }
-      case "reconfigure" ->
-          placement.reconfigure(ask, watch.hold().assignments(), committed, reply, proved(reply));
-      case "candidate-failed" ->
-          placement.candidateFailed(ask, watch.hold().assignments(), proved(reply));
-      case "retire" ->
-          placement.retire(
-              ask.text("node"),
-              stores(),
-              watch.hold().assignments(),
-              committed,
-              reply,
-              proved(reply));
-      case "retired" -> proved(reply).accept(ReplicaPlacement.retired(ask.text("node"), committed));
-      case "write" -> write(ask, reply);
-      case "read" ->
-          watch.confirm(
-              ok -> {
-                if (ok) {
-                  reply.accept(
-                      new WireRecord("reply")
-                          .with("rev", watch.committedRevision())
-                          .with("text", watch.packedText()));
-                }
-              });
-      case "status" -> watch.confirm(ok -> reply.accept(status(ok)));
-      default -> reply.accept(new WireRecord("reply").with("error", "unknown operation"));
+    try {
+      dispatcher.dispatch(PrimaryRequest.of(encoded), typedReply);
+    } catch (ProtocolException e) {
+      runtime.malformedMessage(UNKNOWN_SENDER, e);
     }
   }
 
-  /**
-   * For answers that rest on what this node holds, refusals among them: each is given once it is
-   * proved that this node led after the question came, and never if it did not. Who woke up with
-   * old state says nothing by it.
-   */
-  private Consumer<WireRecord> proved(Consumer<WireRecord> reply) {
-    return r ->
-        watch.confirm(
-            ok -> {
-              if (ok) {
-                reply.accept(r);
-              }
-            });
-  }
-
-  /**
-   * Lets a claim go that did not run; answered once that is durable, or there is nothing to let go.
-   */
-  private void free(WireRecord ask, Consumer<WireRecord> reply) {
-    IdempotencyKeyLock c = watch.hold().claim(ask.text("key"));
-    if (c != null && c.token().equals(ask.text("token"))) {
-      watch.propose(
-          new WireRecord("free").with("key", ask.text("key")).with("token", ask.text("token")),
-          () -> reply.accept(new WireRecord("reply")));
-    } else {
-      proved(reply).accept(new WireRecord("reply"));
+  /** While the epoch is changing there is no reply, and the sender repeats the request. */
+  private void redirectRequest(Consumer<PrimaryReply> reply) {
+    if (isOtherPrimaryKnown()) {
+      reply.accept(new NotPrimaryReply(replica.known()));
     }
   }
 
-  private void inForce(ParsedConfiguration read) {
-    newest = read;
-    GatewayConfiguration c = read.checked();
-    quotaOwner.configured(c, runtime.now());
-    Set<String> divided = new HashSet<>();
-    c.services()
-        .values()
-        .forEach(
-            s -> {
-              if (s.partitioned()) {
-                divided.add(s.name());
-              }
-            });
-    keeper.configured(divided);
-  }
-
-  /** The version, if it is the newest one and this node has read it. */
+  /** Returns a revision in its parsed form if it is the newest and parsed here, else null. */
   public ParsedConfiguration read(long revision) {
-    return newest != null && newest.revision() == revision && watch.leading() ? newest : null;
+    return configuration.parsed(revision);
   }
 
-  /**
-   * Finds the limits in force for the quotas, as a new primary. What this node has read before is
-   * not read again.
-   */
-  private void stock(ParsedConfiguration held) {
-    long revision = watch.committedRevision();
-    if (newest != null && newest.revision() == revision) {
-      inForce(newest);
-    } else if (held.revision() == revision) {
-      if (held.checked() != null) {
-        inForce(held);
+  // --------------------------------------------- what the services are given
+
+  /** Enforces configurations. */
+  private final class ConfigurationListener implements ConfigurationChanges.Listener {
+    @Override
+    public void inForce(GatewayConfiguration active) {
+      quotaOwner.configure(active, runtime.now());
+      Set<String> partitionedServices = new HashSet<>();
+      for (Service service : active.services().values()) {
+        if (service.partitioned()) {
+          partitionedServices.add(service.name());
+        }
       }
-    } else if (watch.committedText() != null) {
-      ConfigurationUpdateParser r =
-          new ConfigurationUpdateParser(
-              new WireRecord("news").with("cfg", revision).with("text", watch.packedText()),
-              ParsedConfiguration.NONE);
-      Runnable then =
-          () -> {
-            if (r.result() == null) {
-              runtime.event(
-                  "event=configuration_unreadable revision=" + revision + " cause=" + r.cause());
-            } else if (watch.leading() && watch.committedRevision() == revision) {
-              inForce(r.result());
-            }
-          };
-      readApart(r.isLong(), r, then);
+      keyRanges.configured(partitionedServices);
     }
-  }
 
-  private void readApart(boolean isLong, Runnable reading, Runnable then) {
-    if (isLong) {
-      runtime.apart(reading, then);
-    } else {
-      reading.run();
-      then.run();
+    @Override
+    public void committed() {
+      respondSoon();
     }
   }
 
-  /** One tenant's part of an ask for tokens. */
-  private WireRecord lend(WireRecord ask, WireRecord tenant) {
-    WireRecord out = new WireRecord("lent").with("tenant", tenant.text("tenant"));
-    long now = runtime.now();
-    if (!watch.mayGive()) {
-      return out.with("count", 0).with("again", Math.max(50_000, watch.givingFrom() - now));
+  /** The core as the handler of worker reports sees it. */
+  private final class WorkerReportCore implements WorkerReportHandler.Core {
+    @Override
+    public StateWriter writer() {
+      return replica::propose;
     }
-    boolean known = ask.number("term") == term;
-    QuotaOwner.Lent l =
-        quotaOwner.lend(
-            tenant.text("tenant"),
-            ask.number("life"),
-            known ? tenant.number("used") : 0,
-            known ? tenant.number("returned") : 0,
-            (int) tenant.number("need"),
-            (int) tenant.number("spare"),
-            now);
-    // A new owner's buckets are empty for a while: what they lack then says nothing about the
-    // tenant.
-    boolean settled = now - watch.givingFrom() > EMPTY_AT_FIRST;
-    return out.with("count", l.count())
-        .with("again", l.againMicros())
-        .with("over", l.over() && settled ? true : null);
-  }
 
-  private void claim(WireRecord ask, Consumer<WireRecord> reply) {
-    String key = ask.text("key");
-    String token = ask.text("token");
-    IdempotencyKeyLock c = watch.hold().claim(key);
-    List<Consumer<WireRecord>> pending = claimsInWriting.get(token);
-    if (pending != null) {
-      pending.add(reply);
-      return;
-    }
-    if (c != null) {
-      proved(reply)
-          .accept(
-              c.token().equals(token)
-                  ? new WireRecord("reply").with("granted", true)
-                  : new WireRecord("reply").with("holder", c.holder()).with("run", c.token()));
-      return;
-    }
-    WireRecord lent = ask.has("tenant") ? lend(ask, ask.nested("tenant")) : null;
-    if (lent != null && lent.number("count") == 0) {
-      reply.accept(new WireRecord("reply").with("term", term).with("lent", lent));
-      return;
+    @Override
+    public LeadershipProof proof() {
+      return proof;
     }
-    claimsInWriting.put(token, new ArrayList<>(List.of(reply)));
-    boolean taken =
-        watch.propose(
-            new WireRecord("claim")
-                .with("key", key)
-                .with("token", token)
-                .with("holder", ask.text("holder")),
-            () -> {
-              List<Consumer<WireRecord>> replies = claimsInWriting.remove(token);
-              IdempotencyKeyLock now = watch.hold().claim(key);
-              // While an epoch was changing, two claims of one key may both have waited: the last
-              // written
-              // holds it.
-              boolean mine = now != null && now.token().equals(token);
-              WireRecord r =
-                  mine
-                      ? new WireRecord("reply")
-                          .with("granted", true)
-                          .with("term", term)
-                          .with("lent", lent)
-                      : new WireRecord("reply")
-                          .with("holder", now == null ? null : now.holder())
-                          .with("run", now == null ? null : now.token());
-              if (replies != null) {
-                replies.forEach(x -> x.accept(r));
-              }
-            });
-    if (!taken) {
-      claimsInWriting.remove(token);
-    }
-  }
 
-  private void beat(WireRecord ask, Consumer<WireRecord> reply) {
-    WorkerInstance v = WorkerInstance.of(ask.nested("vessel"), runtime.now());
-    take(v);
-    if (v.state() == WorkerState.IN_SERVICE) {
-      proved(reply).accept(new WireRecord("reply"));
-      return;
+    @Override
+    public LeadershipProof laterProof() {
+      return replica::confirmLater;
     }
-    DrainWait d = new DrainWait();
-    d.deadline = runtime.now() + DRAIN_WAIT;
-    d.reply = reply;
-    d.version = register.version();
-    drains.add(d);
-    // Written again though it may be known: the acknowledgement waits for a commit of its own.
-    keep(
-        register.get(v.id()),
-        () -> {
-          d.durable = true;
-          checkDrains();
-        });
-  }
 
-  /**
-   * Takes what is told of a worker; a change is delivered, and written so that it outlives every
-   * process.
-   */
-  private void take(WorkerInstance v) {
-    if (register.take(v, runtime.now())) {
-      newsDue();
-      keep(register.get(v.id()), () -> {});
+    @Override
+    public void workersChanged() {
+      respondSoon();
     }
   }
 
-  private void keep(WorkerInstance v, Runnable written) {
-    watch.propose(v.toWireRecord("worker", runtime.now()), written);
-  }
-
-  /** Acknowledges leavers once every node that holds a lease has them as such. */
-  private void checkDrains() {
-    if (drains.isEmpty()) {
-      return;
-    }
-    long confirmed = Long.MAX_VALUE;
-    for (Lease l : leases.values()) {
-      confirmed = Math.min(confirmed, l.tableVersion);
+  /** The authority to lend tokens. */
+  private final class LendingAuthority implements QuotaLending.Authority {
+    @Override
+    public boolean mayLend() {
+      return replica.mayGive();
     }
-    Iterator<DrainWait> it = drains.iterator();
-    List<DrainWait> ready = new ArrayList<>();
-    while (it.hasNext()) {
-      DrainWait d = it.next();
-      boolean everywhere = d.version <= confirmed && runtime.now() - beganAt > ALL_POLLED;
-      if (d.durable && (everywhere || runtime.now() > d.deadline)) {
-        it.remove();
-        ready.add(d);
-      }
+
+    @Override
+    public long lendingFromMicros() {
+      return replica.givingFrom();
     }
-    ready.forEach(d -> d.reply.accept(new WireRecord("reply")));
   }
 
-  // --------------------------------------------------------- configuration
-
-  private static WireRecord verdict(int status, String cause) {
-    return new WireRecord("reply").with("status", status).with("cause", cause);
-  }
+  /** The assignments of the replicated state. */
+  private final class PrimaryAssignments implements AssignmentState {
+    @Override
+    public Assignments replicated() {
+      return replica.hold().assignments();
+    }
 
-  private void write(WireRecord ask, Consumer<WireRecord> reply) {
-    String text;
-    try {
-      text = CompressedPayload.unpackText(ask.bytes("text"));
-    } catch (ProtocolException e) {
-      reply.accept(verdict(400, "body: unreadable on its way"));
-      return;
+    @Override
+    public Assignments committed() {
+      return assignments.current();
     }
-    long base = ask.number("base");
-    String kind = ask.text("kind");
-    String digest =
-        Hashing.sha256()
-            .hashString(kind + "\n" + base + "\n" + text, StandardCharsets.UTF_8)
-            .toString();
-    if (writing != null) {
-      if (writing.digest.equals(digest)) {
-        writing.replies.add(reply);
-      }
-      // Another change is being written: say nothing, the asker asks again within its time.
-      return;
+
+    @Override
+    public AssignmentWriter writer() {
+      return assignments;
     }
-    PendingWrite w = new PendingWrite();
-    w.digest = digest;
-    w.replies.add(reply);
-    writing = w;
-    ConfigurationWriteParser r =
-        new ConfigurationWriteParser(
-            kind,
-            text,
-            newest != null && newest.revision() == watch.committedRevision() ? newest : null,
-            watch.committedText());
-    readApart(
-        r.isLong(),
-        r,
-        () -> {
-          if (writing == w) {
-            judge(w, r, base, kind.equals("modify") ? text : null);
-          }
-        });
   }
 
-  /** Takes the order that was read, or says why not. */
-  private void judge(PendingWrite w, ConfigurationWriteParser r, long base, String change) {
-    long current = watch.committedRevision();
-    WireRecord verdict = null;
-    if (r.unreadable() != null) {
-      verdict = verdict(400, r.unreadable());
-    } else if (watch.hold().taken().holds(r.revision(), w.digest)) {
-      verdict = verdict(200, null);
-    } else if (base != current) {
-      verdict = verdict(412, "X-Otterpond-Base-Revision: the current revision is " + current);
-    } else if (r.revision() <= current) {
-      verdict = verdict(400, "revision: not above the current " + current);
-    } else if (r.invalid() != null) {
-      // A modification is judged together with what it changes.
-      verdict = verdict(400, r.invalid());
+  /** The core as the membership service sees it. */
+  private final class MembershipCore implements CoreMembership.Core {
+    @Override
+    public EpochRecord record() {
+      return replica.record();
     }
-    if (verdict != null) {
-      writing = null;
-      WireRecord given = verdict;
-      w.replies.forEach(reply -> proved(reply).accept(given));
-      return;
+
+    @Override
+    public boolean isSilent(CoreMember member, long micros) {
+      return replica.silent(member, micros);
     }
-    boolean taken =
-        watch.propose(
-            CompressedText.put(r.packed(), new WireRecord("config").with("rev", r.revision()))
-                .with("digest", w.digest),
-            () -> {
-              writing = null;
-              if (change != null) {
-                changes.add(base, r.revision(), CompressedPayload.pack(change));
-              } else {
-                changes.clear();
-              }
-              inForce(r.result());
-              runtime.event("event=configuration_taken revision=" + r.revision() + " base=" + base);
-              w.replies.forEach(reply -> reply.accept(verdict(200, null)));
-              newsDue();
-            });
-    if (!taken) {
-      writing = null;
+
+    @Override
+    public boolean isLeaving(CoreMember member) {
+      return replica.leaving(member);
     }
-  }
 
-  private WireRecord status(boolean confirmed) {
-    EpochRecord r = watch.record();
-    List<WireRecord> nodes = new ArrayList<>();
-    long now = runtime.now();
-    List<WireRecord> storing = new ArrayList<>();
-    leases.forEach(
-        (a, l) -> {
-          WireRecord row =
-              new WireRecord("node")
-                  .with("name", l.poll.text("name"))
-                  .with("addr", a)
-                  .with("zone", l.poll.text("zone"))
-                  .with("cfg", l.poll.number("cfg"))
-                  .with("silent_ms", Math.max(0, now - l.at) / 1000);
-          WireRecord figures = l.poll.nested("figures");
-          if (figures != null) {
-            figures.fields().forEach(row::with);
-          }
-          (l.poll.has("store") ? storing : nodes).add(row);
-        });
-    List<Object> silent = new ArrayList<>();
-    r.members().stream()
-        .filter(m -> !m.diskId().equals(self.diskId()) && watch.silent(m, MEMBER_DEAD))
-        .forEach(m -> silent.add(m.name()));
-    List<WireRecord> workers = new ArrayList<>();
-    register.newerThan(0).forEach(v -> workers.add(v.toWireRecord(now)));
-    return new WireRecord("reply")
-        .with("confirmed", confirmed)
-        .with("record", r.toWireRecord())
-        .with("silent", silent)
-        .with("rev", watch.committedRevision())
-        .with("claims", watch.hold().claimCount())
-        .withRecords("nodes", nodes)
-        .withRecords("stores", storing)
-        .withRecords("workers", workers)
-        .withRecords("quotas", quotaOwner.status(now))
-        .withRecords("keys", keeper.status())
-        .with("partitions", ReplicaPlacement.status(committed));
+    @Override
+    public void changeMembers(List<CoreMember> members) {
+      replica.changeMembers(members);
+    }
   }
 }
--- a/src/main/java/org/otterpond/control/primary/QuotaOwner.java
+++ b/src/main/java/org/otterpond/control/primary/QuotaOwner.java
@@ -1,255 +1,107 @@
 package org.otterpond.control.primary;
 
-import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.HashMap;
-import java.util.Iterator;
 import java.util.List;
 import java.util.Map;
 import org.otterpond.config.GatewayConfiguration;
 import org.otterpond.config.Service;
 import org.otterpond.config.Tenant;
-import org.otterpond.protocol.WireRecord;
+import org.otterpond.control.message.QuotaStatus;
+import org.otterpond.control.message.TokenDemand;
+import org.otterpond.control.message.TokenGrant;
 
 /**
- * The one owner of all quotas: a token bucket a tenant, out of which it lends tokens to the nodes.
+ * The single owner of all quotas: a token bucket a tenant and a rate-limited service, out of which
+ * tokens are lent to the nodes.
  *
- * <p>A lent token is out until its node reports it used or given back, or until it has provably
- * expired: a node uses none later than the lending time counted from when it asked, here it is
- * counted from when it was lent. Reports are running totals, so a lost or repeated one does no
- * harm, and a grant whose answer was lost only counts for too long.
+ * <p>A lent token is outstanding until its node reports it used or returned, or until it has
+ * certainly expired: a node counts the lending time from when it asked, the owner from when it
+ * lent. Reports are running totals, so a lost or repeated one does no harm, and a grant whose
+ * answer was lost is only counted as outstanding for too long.
  */
 public final class QuotaOwner {
-  private static final long LEDGER_IDLE = 600_000_000;
-  private static final double NEVER = 3600;
+  private static final String RATE_LIMIT_PREFIX = "ceiling ";
+  private static final long UNKNOWN_TENANT_RETRY_MICROS = 100_000;
 
-  private final QuotaSettings terms;
-  private final Map<String, Bucket> buckets = new HashMap<>();
+  private final QuotaSettings settings;
+  private final Map<String, TokenBucket> buckets = new HashMap<>();
 
-  /** Tokens lent at once, those numbered from end - left to end being still out. */
-  private static final class Loan {
-    final long end;
-    final long expires;
-    long left;
-
-    Loan(long end, long count, long expires) {
-      this.end = end;
-      this.left = count;
-      this.expires = expires;
-    }
-  }
-
-  /** What one life of one node has had of a tenant's tokens. */
-  private static final class Ledger {
-    long granted;
-    long used;
-    long returned;
-    long at;
-    final ArrayDeque<Loan> loans = new ArrayDeque<>();
+  QuotaOwner(QuotaSettings settings) {
+    this.settings = settings;
   }
 
-  private static final class Bucket {
-    double rate;
-    double burst;
-    boolean configured;
-    boolean ceiling;
-    double tokens;
-    long at;
-    long out;
-    long granted;
-    long denied;
-    final ArrayDeque<Loan> loans = new ArrayDeque<>();
-    final Map<Long, Ledger> ledgers = new HashMap<>();
-  }
-
-  /** The answer to one ask. */
-  record Lent(int count, boolean over, long againMicros) {}
-
-  QuotaOwner(QuotaSettings terms) {
-    this.terms = terms;
+  /** Returns the name under which tokens of a service's rate limit are lent; no tenant has it. */
+  public static String ceilingOf(String service) {
+    return RATE_LIMIT_PREFIX + service;
   }
 
-  /** A new owner: every bucket begins empty. */
+  /** Removes all buckets, as every bucket of a new owner is empty at first. */
   void reset() {
     buckets.clear();
   }
 
-  /**
-   * Takes the limits in force. A tenant that is new, or comes again, begins with an empty bucket.
-   */
-  void configured(GatewayConfiguration c, long now) {
-    buckets.values().forEach(b -> b.configured = false);
-    for (Service s : c.services().values()) {
-      if (s.ratePerSecond() > 0) {
-        Bucket b = bucket(ceilingOf(s.name()), now);
-        refill(b, now);
-        b.ceiling = true;
-        b.rate = s.ratePerSecond();
-        b.burst = terms.ceilingPart(b.rate);
-        b.tokens = Math.min(b.tokens, b.burst);
-        b.configured = true;
+  /** Takes the limits in force. A tenant that is new, or was removed before, has no tokens yet. */
+  void configure(GatewayConfiguration configuration, long nowMicros) {
+    buckets.values().forEach(TokenBucket::beginConfiguration);
+    for (Service service : configuration.services().values()) {
+      if (service.ratePerSecond() > 0) {
+        configureRateLimit(service, nowMicros);
       }
     }
-    for (Tenant s : c.tenants()) {
-      if (!s.limited()) {
-        continue;
+    for (Tenant tenant : configuration.tenants()) {
+      if (tenant.limited()) {
+        configureQuota(tenant, nowMicros);
       }
-      Bucket b = bucket(s.name(), now);
-      refill(b, now);
-      b.rate = s.ratePerSecond();
-      b.burst = s.burst();
-      b.tokens = Math.min(b.tokens, b.burst);
-      b.configured = true;
     }
-    buckets
-        .values()
-        .forEach(
-            b -> {
-              if (!b.configured) {
-                b.rate = 0;
-                b.burst = 0;
-                b.tokens = 0;
-              }
-            });
+    buckets.forEach((name, bucket) -> bucket.endConfiguration(maxOutstandingWithoutLimit(name)));
   }
 
-  private Bucket bucket(String name, long now) {
-    return buckets.computeIfAbsent(
-        name,
-        n -> {
-          Bucket fresh = new Bucket();
-          fresh.at = now;
-          return fresh;
-        });
+  private void configureRateLimit(Service service, long nowMicros) {
+    double burst = settings.rateLimitPart(service.ratePerSecond());
+    bucket(ceilingOf(service.name()), nowMicros)
+        .configure(service.ratePerSecond(), burst, burst, nowMicros);
   }
 
-  /** The name under which tokens of a service's ceiling are lent; no tenant can have it. */
-  public static String ceilingOf(String service) {
-    return "ceiling " + service;
+  private void configureQuota(Tenant tenant, long nowMicros) {
+    int maxOutstanding = settings.maxOutstanding(tenant.ratePerSecond(), tenant.burst());
+    bucket(tenant.name(), nowMicros)
+        .configure(tenant.ratePerSecond(), tenant.burst(), maxOutstanding, nowMicros);
   }
 
-  private double mostOut(Bucket b) {
-    return b.ceiling ? terms.ceilingPart(b.rate) : terms.mostOut(b.rate, b.burst);
+  private double maxOutstandingWithoutLimit(String name) {
+    return name.startsWith(RATE_LIMIT_PREFIX)
+        ? settings.rateLimitPart(0)
+        : settings.maxOutstanding(0, 0);
   }
 
-  private static void refill(Bucket b, long now) {
-    // A limit below one token would never let any through: the bucket holds one at least.
-    b.tokens = Math.min(Math.max(1, b.burst), b.tokens + b.rate * (now - b.at) / 1e6);
-    b.at = now;
+  private TokenBucket bucket(String name, long nowMicros) {
+    return buckets.computeIfAbsent(
+        name, key -> new TokenBucket(key, settings.lentMicros(), nowMicros));
   }
 
   /**
-   * Settles what the node reports and lends it what it needs, and up to {@code spare} more while
-   * little is out.
+   * Takes the totals that a node reports and lends it what it needs.
    *
-   * @param used running total of the tokens that the node has used, given back or let expire
-   * @param returned running total of those given back unused
+   * @param incarnation identity of the node's process
    */
-  Lent lend(String tenant, long life, long used, long returned, int need, int spare, long now) {
-    Bucket b = buckets.get(tenant);
-    if (b == null) {
-      return new Lent(0, false, 100_000);
-    }
-    refill(b, now);
-    expire(b, now);
-    Ledger l =
-        b.ledgers.computeIfAbsent(
-            life,
-            n -> {
-              Ledger fresh = new Ledger();
-              fresh.granted = used;
-              fresh.used = used;
-              fresh.returned = returned;
-              return fresh;
-            });
-    l.at = now;
-    settle(b, l, used, returned);
-    int room = (int) Math.max(0, mostOut(b) - b.out);
-    int count = (int) Math.min(need, Math.min(b.tokens, room));
-    if (count == need && spare > 0) {
-      int half = room - (int) mostOut(b) / 2;
-      count += (int) Math.max(0, Math.min(spare, Math.min(b.tokens / 2, half) - count));
-    }
-    if (count > 0) {
-      b.tokens -= count;
-      b.out += count;
-      b.granted += count;
-      l.granted += count;
-      Loan loan = new Loan(l.granted, count, now + terms.lentMicros());
-      l.loans.addLast(loan);
-      b.loans.addLast(loan);
-    }
-    if (count >= need) {
-      return new Lent(count, false, 0);
-    }
-    boolean over = b.tokens < 1;
-    b.denied += over ? need - count : 0;
-    double wait = b.rate <= 0 ? NEVER : (need - count) / b.rate;
-    return new Lent(count, over, (long) (1e6 * wait));
+  TokenGrant lend(long incarnation, TokenDemand demand, long nowMicros) {
+    TokenBucket bucket = buckets.get(demand.tenant());
+    return bucket == null
+        ? new TokenGrant(demand.tenant(), 0, UNKNOWN_TENANT_RETRY_MICROS, false)
+        : bucket.lend(incarnation, demand, nowMicros);
   }
 
-  private static void expire(Bucket b, long now) {
-    while (!b.loans.isEmpty()
-        && (b.loans.peekFirst().left == 0 || b.loans.peekFirst().expires <= now)) {
-      Loan gone = b.loans.pollFirst();
-      b.out -= gone.left;
-      gone.left = 0;
-    }
-  }
-
-  /** Used tokens are taken off the oldest loans, as the nodes use the oldest first. */
-  private static void settle(Bucket b, Ledger l, long used, long returned) {
-    if (used <= l.used || used > l.granted) {
-      return;
-    }
-    long off = 0;
-    while (!l.loans.isEmpty()) {
-      Loan o = l.loans.peekFirst();
-      long stays = Math.min(o.left, Math.max(0, o.end - used));
-      off += o.left - stays;
-      o.left = stays;
-      if (stays > 0) {
-        break;
-      }
-      l.loans.pollFirst();
-    }
-    b.out -= off;
-    long back = Math.max(0, Math.min(returned - l.returned, off));
-    b.tokens = Math.min(Math.max(1, b.burst), b.tokens + back);
-    l.used = used;
-    l.returned = Math.max(l.returned, returned);
-  }
-
-  /** Lets go of what no token is out of any more. */
-  void tick(long now) {
-    Iterator<Bucket> it = buckets.values().iterator();
-    while (it.hasNext()) {
-      Bucket b = it.next();
-      expire(b, now);
-      b.ledgers.values().removeIf(l -> now - l.at > LEDGER_IDLE);
-      if (!b.configured && b.out == 0) {
-        it.remove();
-      }
-    }
+  /** Removes expired loans, and buckets without a limit that have no outstanding tokens. */
+  void tick(long nowMicros) {
+    buckets.values().forEach(bucket -> bucket.removeExpired(nowMicros));
+    buckets.values().removeIf(TokenBucket::isRemovable);
   }
 
-  /** For the operators: what each tenant may have, has had and is refused. */
-  List<WireRecord> status(long now) {
-    List<WireRecord> out = new ArrayList<>();
-    buckets.forEach(
-        (name, b) -> {
-          refill(b, now);
-          expire(b, now);
-          out.add(
-              new WireRecord("quota")
-                  .with("name", name)
-                  .with("rate", b.rate)
-                  .with("burst", b.burst)
-                  .with("tokens", (long) b.tokens)
-                  .with("out", b.out)
-                  .with("granted", b.granted)
-                  .with("denied", b.denied));
-        });
-    return out;
+  /** Returns the figures of all buckets. */
+  List<QuotaStatus> status(long nowMicros) {
+    List<QuotaStatus> rows = new ArrayList<>();
+    buckets.values().forEach(bucket -> rows.add(bucket.status(nowMicros)));
+    return rows;
   }
 }
--- a/src/main/java/org/otterpond/control/primary/WorkerRegistry.java
+++ b/src/main/java/org/otterpond/control/primary/WorkerRegistry.java
@@ -10,144 +10,184 @@
 import org.otterpond.control.state.WorkerState;
 
 /**
- * The primary's table of workers: soft state, from beats and from what nodes tell again after a
- * takeover.
+ * The primary's table of worker instances, kept from heartbeats and from what nodes report after a
+ * takeover. Each change gets the next version.
  */
 final class WorkerRegistry {
-  private static final long TOMBSTONE = 60_000_000;
+  /** An instance that has ended is kept this long, so that late heartbeats do not revive it. */
+  private static final long ENDED_RETENTION_MICROS = 60_000_000;
 
-  private final long silence;
+  /** An instance is lost after this many heartbeats are missing. */
+  private static final double MISSING_HEARTBEATS = 3.5;
+
+  /** The time-out is longer by this factor while most instances of a service are silent. */
+  private static final int MOST_SILENT_FACTOR = 4;
+
+  /** A new instance replaces one at its address that is silent for this part of the time-out. */
+  private static final int REPLACEMENT_DIVISOR = 3;
+
+  private final long timeoutMicros;
   private final Map<String, Entry> entries = new LinkedHashMap<>();
   private long version;
-  private long since;
-  private long sum;
-  private long sumVersion = -1;
-
-  static final class Entry {
-    WorkerInstance worker;
-    long version;
-    long seen;
+  private long resetAtMicros;
+  private long checksum;
+  private long checksumVersion = -1;
+
+  private static final class Entry {
+    private WorkerInstance worker;
+    private long version;
+    private long heardAtMicros;
+
+    boolean isAlive() {
+      return worker.state().compareTo(WorkerState.LOST) < 0;
+    }
   }
 
+  /** How many instances of a service are alive, and how many of them are silent. */
+  private static final class ServiceCount {
+    private int alive;
+    private int silent;
+
+    boolean mostAreSilent() {
+      return silent * 2 > alive;
+    }
+  }
+
+  /**
+   * Creates an empty registry.
+   *
+   * @param heartbeatMicros time between the heartbeats of a worker
+   */
   WorkerRegistry(long heartbeatMicros) {
-    this.silence = heartbeatMicros * 3 + heartbeatMicros / 2;
+    this.timeoutMicros = (long) (heartbeatMicros * MISSING_HEARTBEATS);
   }
 
-  void reset(long now) {
+  /** Removes all instances and begins with the first version. */
+  void reset(long nowMicros) {
     entries.clear();
     version = 1;
-    since = now;
+    resetAtMicros = nowMicros;
   }
 
+  /** Returns the version of the newest change. */
   long version() {
     return version;
   }
 
-  /** A sum over the workers alive; another table with the same sum is the same. */
-  long sum() {
-    if (sumVersion != version) {
-      sum = 0;
-      entries.values().forEach(e -> sum += e.worker.sum());
-      sumVersion = version;
+  /** Returns a checksum over the instances alive; tables with the same checksum are equal. */
+  long checksum() {
+    if (checksumVersion != version) {
+      checksum = 0;
+      entries.values().forEach(entry -> checksum += entry.worker.sum());
+      checksumVersion = version;
     }
-    return sum;
+    return checksum;
   }
 
+  /** Returns an instance, or null if it is not known. */
   WorkerInstance get(String id) {
-    Entry e = entries.get(id);
-    return e == null ? null : e.worker;
+    Entry entry = entries.get(id);
+    return entry == null ? null : entry.worker;
   }
 
-  /** Takes a beat or a re-told record; true if the table changed. */
-  boolean take(WorkerInstance news, long now) {
-    Entry e = entries.get(news.id());
-    if (e == null) {
-      e = new Entry();
-      entries.put(news.id(), e);
-      if (news.state() == WorkerState.IN_SERVICE) {
-        displace(news, now);
+  /** Takes a heartbeat or a reported state; returns whether the table changed. */
+  boolean update(WorkerInstance received, long nowMicros) {
+    Entry entry = entries.get(received.id());
+    if (entry == null) {
+      if (received.state() == WorkerState.IN_SERVICE) {
+        endReplaced(received, nowMicros);
       }
+      entry = new Entry();
+      entries.put(received.id(), entry);
     }
-    WorkerInstance merged = e.worker == null ? news : e.worker.merge(news);
-    if (merged != e.worker) {
-      e.seen = now;
+    WorkerInstance merged = entry.worker == null ? received : entry.worker.merge(received);
+    if (!merged.equals(entry.worker)) {
+      entry.heardAtMicros = nowMicros;
     }
-    boolean changed = merged.differs(e.worker);
-    e.worker = merged;
+    boolean changed = merged.differs(entry.worker);
+    entry.worker = merged;
     if (changed) {
-      e.version = ++version;
+      entry.version = ++version;
     }
     return changed;
   }
 
-  /** Another life at this address must be over. */
-  private void displace(WorkerInstance news, long now) {
-    for (Entry o : entries.values()) {
-      if (o.worker != null
-          && !o.worker.id().equals(news.id())
-          && o.worker.address().equals(news.address())
-          && o.worker.state().compareTo(WorkerState.LOST) < 0
-          && now - o.seen > silence / 3) {
-        o.worker = o.worker.in(WorkerState.LOST);
-        o.version = ++version;
+  /** Marks another instance at the address of a new one as lost. */
+  private void endReplaced(WorkerInstance replacement, long nowMicros) {
+    for (Entry entry : entries.values()) {
+      if (entry.worker.address().equals(replacement.address())
+          && entry.isAlive()
+          && nowMicros - entry.heardAtMicros > timeoutMicros / REPLACEMENT_DIVISOR) {
+        markLost(entry);
       }
     }
   }
 
-  /** Whether another life has shown itself at the address of this one, which therefore is over. */
-  boolean succeeded(WorkerInstance over) {
-    for (Entry e : entries.values()) {
-      if (e.worker.address().equals(over.address())
-          && !e.worker.id().equals(over.id())
-          && e.worker.state().compareTo(WorkerState.LOST) < 0) {
-        return true;
-      }
-    }
-    return false;
+  private void markLost(Entry entry) {
+    entry.worker = entry.worker.in(WorkerState.LOST);
+    entry.version = ++version;
+  }
+
+  /** Whether another instance is alive at the address of one that ended, whose process is over. */
+  boolean isReplaced(WorkerInstance ended) {
+    return entries.values().stream()
+        .anyMatch(
+            entry ->
+                entry.worker.address().equals(ended.address())
+                    && !entry.worker.id().equals(ended.id())
+                    && entry.isAlive());
   }
 
   /**
-   * Marks silent workers as lost, unless so many of a service are silent that the silence must be
-   * ours.
+   * Marks silent instances as lost. While most instances of a service are silent the time-out is
+   * longer, as the cause is likely not theirs.
+   *
+   * @return the instances that were lost
    */
-  List<WorkerInstance> expire(long now) {
+  List<WorkerInstance> expire(long nowMicros) {
+    Map<String, ServiceCount> counts = countByService(nowMicros);
     List<WorkerInstance> lost = new ArrayList<>();
-    Map<String, int[]> perService = new HashMap<>();
-    for (Entry e : entries.values()) {
-      if (e.worker.state().compareTo(WorkerState.LOST) < 0) {
-        int[] n = perService.computeIfAbsent(e.worker.service(), s -> new int[2]);
-        n[0]++;
-        n[1] += now - e.seen > silence ? 1 : 0;
-      }
-    }
-    Iterator<Entry> it = entries.values().iterator();
-    while (it.hasNext()) {
-      Entry e = it.next();
-      if (e.worker.state().compareTo(WorkerState.LOST) >= 0) {
-        if (now - e.seen > TOMBSTONE) {
-          it.remove();
+    Iterator<Entry> all = entries.values().iterator();
+    while (all.hasNext()) {
+      Entry entry = all.next();
+      if (!entry.isAlive()) {
+        if (nowMicros - entry.heardAtMicros > ENDED_RETENTION_MICROS) {
+          all.remove();
         }
-        continue;
-      }
-      int[] n = perService.get(e.worker.service());
-      boolean panic = n[1] * 2 > n[0];
-      long bound = panic ? silence * 4 : silence;
-      if (now - e.seen > bound && now - since > silence) {
-        e.worker = e.worker.in(WorkerState.LOST);
-        e.version = ++version;
-        lost.add(e.worker);
+      } else if (isTimedOut(entry, counts.get(entry.worker.service()), nowMicros)) {
+        markLost(entry);
+        lost.add(entry.worker);
       }
     }
     return lost;
   }
 
-  List<WorkerInstance> newerThan(long known) {
-    List<WorkerInstance> out = new ArrayList<>();
-    for (Entry e : entries.values()) {
-      if (e.version > known) {
-        out.add(e.worker);
+  private Map<String, ServiceCount> countByService(long nowMicros) {
+    Map<String, ServiceCount> counts = new HashMap<>();
+    for (Entry entry : entries.values()) {
+      if (entry.isAlive()) {
+        ServiceCount count =
+            counts.computeIfAbsent(entry.worker.service(), service -> new ServiceCount());
+        count.alive++;
+        count.silent += nowMicros - entry.heardAtMicros > timeoutMicros ? 1 : 0;
+      }
+    }
+    return counts;
+  }
+
+  private boolean isTimedOut(Entry entry, ServiceCount count, long nowMicros) {
+    long timeout = count.mostAreSilent() ? timeoutMicros * MOST_SILENT_FACTOR : timeoutMicros;
+    return nowMicros - entry.heardAtMicros > timeout && nowMicros - resetAtMicros > timeoutMicros;
+  }
+
+  /** Returns the instances that changed after a version; all of them for version 0. */
+  List<WorkerInstance> newerThan(long knownVersion) {
+    List<WorkerInstance> newer = new ArrayList<>();
+    for (Entry entry : entries.values()) {
+      if (entry.version > knownVersion) {
+        newer.add(entry.worker);
       }
     }
-    return out;
+    return newer;
   }
 }
--- a/src/test/java/org/otterpond/control/primary/ManyConfigurationChangesTest.java
+++ b/src/test/java/org/otterpond/control/primary/ManyConfigurationChangesTest.java
@@ -4,7 +4,6 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.nio.file.Path;
-import java.util.ArrayList;
 import java.util.List;
 import java.util.Random;
 import org.junit.jupiter.api.io.TempDir;
@@ -16,9 +15,9 @@
 import org.otterpond.protocol.WireRecordCodec;
 import org.otterpond.storage.WriteAheadLog;
 
-/** What a day with hundreds of changes leaves on a small disk. */
+/** The size of the write-ahead log on a small disk after hundreds of configuration changes. */
 class ManyConfigurationChangesTest {
-  private static final long DISK = 64L << 20;
+  private static final long DISK_BYTES = 64L << 20;
 
   @TempDir private Path folder;
 
@@ -48,11 +47,11 @@
     return s.append("]}").toString();
   }
 
-  private static ReplicatedState held(int claims) {
-    ReplicatedState h = new ReplicatedState(60_000_000);
-    Random r = new Random(claims);
-    for (int i = 0; i < claims; i++) {
-      h.apply(
+  private static ReplicatedState stateWithLocks(int locks) {
+    ReplicatedState state = new ReplicatedState(60_000_000);
+    Random r = new Random(locks);
+    for (int i = 0; i < locks; i++) {
+      state.apply(
           new WireRecord("claim")
               .with(
                   "key", "acme/" + Long.toHexString(r.nextLong()) + Long.toHexString(r.nextLong()))
@@ -60,19 +59,19 @@
               .with("holder", "10.0.0.7:7540"),
           0);
     }
-    return h;
+    return state;
   }
 
-  /** Old and new file together stay below half of the disk, and the newest change is read back. */
+  /** Old and new log together stay below half of the disk, and the newest change is read back. */
   @ParameterizedTest
   @CsvSource({"50, 1000, 600", "1480, 100000, 600", "21000, 100000, 150"})
-  void journalStaysSmallThroughHundredsOfChanges(int routes, int claims, int changes)
-      throws Exception {
-    ReplicatedState hold = held(claims);
+  void givenSmallDisk_whenConfigurationChangesHundredsOfTimes_thenLogStaysSmall(
+      int routes, int claims, int changes) throws Exception {
+    ReplicatedState state = stateWithLocks(claims);
     WriteAheadLog log = new WriteAheadLog(folder);
     log.open();
     log.rotate("disk-1", List.of());
-    long at = WriteAheadLog.rotateAt(log.size(), DISK);
+    long rotateAt = WriteAheadLog.rotateAt(log.size(), DISK_BYTES);
     long peak = 0;
     int rotations = 0;
     long text = 0;
@@ -84,12 +83,12 @@
               .with("digest", String.format("%064x", rev));
       text = full.length();
       entry = WireRecordCodec.encode(change).length;
-      hold.apply(change, 0);
-      if (log.size() > at) {
+      state.apply(change, 0);
+      if (log.size() > rotateAt) {
         long before = log.size();
-        log.rotate("disk-1", List.of(hold.snapshot()));
+        log.rotate("disk-1", List.of(state.snapshot()));
         peak = Math.max(peak, before + log.size());
-        at = WriteAheadLog.rotateAt(log.size(), DISK);
+        rotateAt = WriteAheadLog.rotateAt(log.size(), DISK_BYTES);
         rotations++;
       } else {
         log.append(List.of(WriteAheadLog.frame(change)));
@@ -112,21 +111,19 @@
             + " peak="
             + peak
             + " state_plain="
-            + WireRecordCodec.encode(hold.snapshot()).length
+            + WireRecordCodec.encode(state.snapshot()).length
             + " state="
-            + WriteAheadLog.frame(hold.snapshot()).length);
-    assertTrue(peak < DISK / 2, "peak of " + peak);
-    WriteAheadLog again = new WriteAheadLog(folder);
-    again.open();
+            + WriteAheadLog.frame(state.snapshot()).length);
+    assertTrue(peak < DISK_BYTES / 2, "peak of " + peak);
+    WriteAheadLog reopened = new WriteAheadLog(folder);
+    reopened.open();
     ReplicatedState read = new ReplicatedState(60_000_000);
-    List<String> seen = new ArrayList<>();
-    again.replay(
-        f -> {
-          seen.add(f.kind());
-          if (f.kind().equals("state")) {
-            read.load(f, 0);
+    reopened.replay(
+        record -> {
+          if (record.kind().equals("state")) {
+            read.load(record, 0);
           } else {
-            read.apply(f, 0);
+            read.apply(record, 0);
           }
         });
     assertEquals(changes, read.revision());
@@ -136,8 +133,8 @@
 
   @ParameterizedTest
   @CsvSource({"0", "1000000", "8000000", "15000000", "25000000"})
-  void fileThatIsDueLeavesRoomForTheNext(long begun) {
-    assertTrue(WriteAheadLog.rotateAt(begun, DISK) + begun <= DISK * 9 / 10);
-    assertTrue(WriteAheadLog.rotateAt(begun, DISK) > begun);
+  void givenLogThatIsToBeRotated_whenNextLogIsWritten_thenThereIsRoom(long begun) {
+    assertTrue(WriteAheadLog.rotateAt(begun, DISK_BYTES) + begun <= DISK_BYTES * 9 / 10);
+    assertTrue(WriteAheadLog.rotateAt(begun, DISK_BYTES) > begun);
   }
 }
--- a/src/test/java/org/otterpond/control/primary/QuotaOwnerTest.java
+++ b/src/test/java/org/otterpond/control/primary/QuotaOwnerTest.java
@@ -11,43 +11,45 @@
 import org.otterpond.config.ConfigException;
 import org.otterpond.config.ConfigurationParser;
 import org.otterpond.config.JsonFields;
+import org.otterpond.control.message.TokenDemand;
+import org.otterpond.control.message.TokenGrant;
 
-/** The owner's accounts against nodes that lose answers, hoard, expire and give back. */
+/**
+ * The owner's totals with nodes that lose answers, hoard tokens, let them expire or return them.
+ */
 class QuotaOwnerTest {
-  private static final QuotaSettings TERMS = new QuotaSettings(5_000_000, 0.1, 20, 2_000_000);
+  private static final QuotaSettings SETTINGS = new QuotaSettings(5_000_000, 0.1, 20, 2_000_000);
   private static final double RATE = 40;
   private static final double BURST = 30;
 
-  /**
-   * A node that keeps its tokens as the real one does: the oldest first, none longer than it may.
-   */
-  private static final class Hoarder {
+  /** A node that uses its tokens as the real one does: the oldest first, none after it expired. */
+  private static final class HoardingNode {
     final long life;
-    final ArrayDeque<long[]> lots = new ArrayDeque<>();
+    final ArrayDeque<long[]> grants = new ArrayDeque<>();
     long used;
     long returned;
 
-    Hoarder(long life) {
+    HoardingNode(long life) {
       this.life = life;
     }
 
     void prune(long now) {
-      while (!lots.isEmpty() && lots.peekFirst()[0] <= now) {
-        used += lots.pollFirst()[1];
+      while (!grants.isEmpty() && grants.peekFirst()[0] <= now) {
+        used += grants.pollFirst()[1];
       }
     }
 
     int held(long now) {
       prune(now);
-      return lots.stream().mapToInt(l -> (int) l[1]).sum();
+      return grants.stream().mapToInt(l -> (int) l[1]).sum();
     }
 
     int spend(long now, int most) {
       prune(now);
       int n = 0;
-      while (n < most && !lots.isEmpty()) {
-        if (--lots.peekFirst()[1] == 0) {
-          lots.pollFirst();
+      while (n < most && !grants.isEmpty()) {
+        if (--grants.peekFirst()[1] == 0) {
+          grants.pollFirst();
         }
         n++;
       }
@@ -57,8 +59,8 @@
   }
 
   private static QuotaOwner owner(long now) throws ConfigException {
-    QuotaOwner c = new QuotaOwner(TERMS);
-    c.configured(
+    QuotaOwner c = new QuotaOwner(SETTINGS);
+    c.configure(
         ConfigurationParser.read(
             JsonFields.parse(
                 "{\"revision\":1,\"route_table\":[],\"service_table\":[],"
@@ -71,29 +73,34 @@
     return c;
   }
 
+  private static TokenGrant lend(
+      QuotaOwner owner, long life, long used, long returned, int need, int spare, long now) {
+    return owner.lend(life, new TokenDemand("t", used, returned, need, spare), now);
+  }
+
   @Test
-  void whatIsOutNeverExceedsTheOwnersPartAndWindowsHold() throws ConfigException {
+  void givenHoardingNodes_whenTokensAreLent_thenOutstandingAndWindowsStayInBounds()
+      throws ConfigException {
     for (long seed = 1; seed <= 20; seed++) {
       Random random = new Random(seed);
       QuotaOwner owner = owner(0);
-      List<Hoarder> nodes = new ArrayList<>();
+      List<HoardingNode> nodes = new ArrayList<>();
       for (int i = 0; i < 8; i++) {
-        nodes.add(new Hoarder(i));
+        nodes.add(new HoardingNode(i));
       }
       List<Long> runs = new ArrayList<>();
-      int most = TERMS.mostOut(RATE, BURST);
+      int most = SETTINGS.maxOutstanding(RATE, BURST);
       int highest = 0;
       for (long now = 0; now < 30_000_000; now += 1_000 + random.nextInt(4_000)) {
-        Hoarder n = nodes.get(random.nextInt(nodes.size()));
+        HoardingNode n = nodes.get(random.nextInt(nodes.size()));
         n.prune(now);
-        QuotaOwner.Lent lent =
-            owner.lend(
-                "t", n.life, n.used, n.returned, 1 + random.nextInt(3), random.nextInt(3), now);
+        TokenGrant lent =
+            lend(owner, n.life, n.used, n.returned, 1 + random.nextInt(3), random.nextInt(3), now);
         // One answer in ten is lost, and a node may be slow to take one in: it counts from when it
         // asked.
         if (lent.count() > 0 && random.nextInt(10) > 0) {
-          n.lots.addLast(
-              new long[] {now - random.nextInt(20_000) + TERMS.lentMicros(), lent.count()});
+          n.grants.addLast(
+              new long[] {now - random.nextInt(20_000) + SETTINGS.lentMicros(), lent.count()});
         }
         // Some hoard for seconds, then spend all at once.
         if (random.nextInt(now % 7_000_000 < 3_000_000 ? 40 : 3) == 0) {
@@ -102,7 +109,7 @@
           }
         }
         int out = 0;
-        for (Hoarder h : nodes) {
+        for (HoardingNode h : nodes) {
           out += h.held(now);
         }
         highest = Math.max(highest, out);
@@ -123,23 +130,24 @@
   }
 
   @Test
-  void lateOrRepeatedReportsChangeNothing() throws ConfigException {
+  void givenReportedTotals_whenReportsAreLateOrRepeated_thenNothingChanges()
+      throws ConfigException {
     QuotaOwner owner = owner(0);
     long now = 10_000_000;
-    assertEquals(4, owner.lend("t", 1, 0, 0, 4, 0, now).count());
-    owner.lend("t", 1, 3, 2, 0, 0, now);
-    owner.lend("t", 1, 3, 2, 0, 0, now);
-    owner.lend("t", 1, 1, 0, 0, 0, now);
+    assertEquals(4, lend(owner, 1, 0, 0, 4, 0, now).count());
+    lend(owner, 1, 3, 2, 0, 0, now);
+    lend(owner, 1, 3, 2, 0, 0, now);
+    lend(owner, 1, 1, 0, 0, 0, now);
     // 30 tokens, 4 lent, 2 given back; 1 is out.
-    assertEquals(28, owner.status(now).get(0).number("tokens"));
-    assertEquals(1, owner.status(now).get(0).number("out"));
-    assertEquals(0, owner.status(now + 2_100_000).get(0).number("out"), "what is out expires");
+    assertEquals(28, owner.status(now).get(0).tokens());
+    assertEquals(1, owner.status(now).get(0).outstanding());
+    assertEquals(0, owner.status(now + 2_100_000).get(0).outstanding(), "what is out expires");
   }
 
   @Test
-  void newOwnerAndNewTenantBeginEmpty() throws ConfigException {
+  void givenNewOwner_whenTokensAreAskedFor_thenBucketIsEmptyAtFirst() throws ConfigException {
     QuotaOwner owner = owner(5_000_000);
-    assertTrue(owner.lend("t", 1, 0, 0, 1, 0, 5_000_000).over());
-    assertEquals(2, owner.lend("t", 1, 0, 0, 9, 0, 5_050_000).count());
+    assertTrue(lend(owner, 1, 0, 0, 1, 0, 5_000_000).overQuota());
+    assertEquals(2, lend(owner, 1, 0, 0, 9, 0, 5_050_000).count());
   }
 }
