--- a/src/main/java/org/otterpond/control/agent/ActiveConfiguration.java
+++ b/src/main/java/org/otterpond/control/agent/ActiveConfiguration.java
@@ -4,6 +4,8 @@
 import java.util.Deque;
 import java.util.function.Consumer;
 import org.otterpond.config.GatewayConfiguration;
+import org.otterpond.control.message.PollResponse;
+import org.otterpond.control.state.ConfigurationUpdate;
 import org.otterpond.control.state.ConfigurationUpdateParser;
 import org.otterpond.control.state.ParsedConfiguration;
 import org.otterpond.protocol.WireRecord;
@@ -30,7 +32,7 @@
    *
    * @param parsed its parsed form if this node has it already, else null
    */
-  private record PendingUpdate(WireRecord update, ParsedConfiguration parsed) {}
+  private record PendingUpdate(ConfigurationUpdate update, ParsedConfiguration parsed) {}
 
   /**
    * Creates the holder, with no configuration in use.
@@ -62,10 +64,9 @@
    *
    * @param parsed its parsed form if this node has it already, else null
    */
-  void receive(WireRecord update, ParsedConfiguration parsed) {
-    long revision = update.number("cfg");
-    if (revision > newestReceived) {
-      newestReceived = revision;
+  void receive(ConfigurationUpdate update, ParsedConfiguration parsed) {
+    if (update.revision() > newestReceived) {
+      newestReceived = update.revision();
       pending.add(new PendingUpdate(update, parsed));
       applyPending();
     }
@@ -77,15 +78,18 @@
       if (next.parsed() != null) {
         apply(next.parsed());
       } else {
-        parse(new ConfigurationUpdateParser(next.update(), current));
+        parse(next.update());
       }
     }
   }
 
-  private void parse(ConfigurationUpdateParser parser) {
+  private void parse(ConfigurationUpdate update) {
+    WireRecord encoded = new WireRecord(PollResponse.KIND);
+    update.addTo(encoded);
+    ConfigurationUpdateParser parser = new ConfigurationUpdateParser(encoded, current);
     if (!parser.isLong()) {
       parser.run();
-      onParsed(parser);
+      onParsed(update, parser);
       return;
     }
     parsing = true;
@@ -93,12 +97,12 @@
         parser,
         () -> {
           parsing = false;
-          onParsed(parser);
+          onParsed(update, parser);
           applyPending();
         });
   }
 
-  private void onParsed(ConfigurationUpdateParser parser) {
+  private void onParsed(ConfigurationUpdate update, ConfigurationUpdateParser parser) {
     if (parser.result() != null) {
       apply(parser.result());
       return;
@@ -107,13 +111,12 @@
     pending.clear();
     newestReceived = current.revision();
     if (parser.cause() != null) {
-      WireRecord update = parser.news();
       runtime.event(
           "event=configuration_unreadable revision="
-              + update.number("cfg")
+              + update.revision()
               + " cause="
               + parser.cause());
-      needsFullText = !update.has("text");
+      needsFullText = !update.isComplete();
     }
   }
 
--- a/src/main/java/org/otterpond/control/agent/ControlPlaneAgent.java
+++ b/src/main/java/org/otterpond/control/agent/ControlPlaneAgent.java
@@ -2,14 +2,24 @@
 
 import java.util.List;
 import java.util.Map;
-import java.util.function.BiConsumer;
 import java.util.function.Consumer;
 import org.otterpond.control.epoch.EpochListener;
+import org.otterpond.control.message.FetchOutcomeReply;
+import org.otterpond.control.message.FetchOutcomeRequest;
+import org.otterpond.control.message.FleetSummary;
+import org.otterpond.control.message.MembershipUpdate;
+import org.otterpond.control.message.NodeHello;
+import org.otterpond.control.message.NodePoll;
+import org.otterpond.control.message.NotPrimaryReply;
+import org.otterpond.control.message.PollResponse;
+import org.otterpond.control.message.PrimaryReply;
+import org.otterpond.control.message.PrimaryRequest;
 import org.otterpond.control.primary.ControlPlaneSettings;
 import org.otterpond.control.primary.DataPlane;
 import org.otterpond.control.state.EpochAnnouncement;
 import org.otterpond.control.state.EpochRecord;
 import org.otterpond.control.state.WorkerInstance;
+import org.otterpond.protocol.Encodable;
 import org.otterpond.protocol.ProtocolException;
 import org.otterpond.protocol.WireRecord;
 import org.otterpond.runtime.NodeRuntime;
@@ -37,9 +47,14 @@
   private final ForwardedRequests requests;
   private final HeartbeatForwarder heartbeats;
   private final QuotaCache quotaCache;
-  private final Map<String, BiConsumer<String, WireRecord>> messageHandlers;
+  private final Map<String, MessageHandler> messageHandlers;
   private long quotaSweptAt;
 
+  /** Handles the messages of one kind. */
+  private interface MessageHandler {
+    void handle(String from, WireRecord encoded) throws ProtocolException;
+  }
+
   /**
    * Assembles the control plane of one node; {@link #start()} sets it going.
    *
@@ -75,20 +90,13 @@
             settings.quota().lentMicros() - ControlPlaneSettings.LENT_MARGIN);
     this.messageHandlers =
         Map.of(
-            "hello",
-            locator::onHello,
-            EpochAnnouncement.KIND,
-            this::onEpochAnnouncement,
-            "poll",
-            this::onPoll,
-            "news",
-            poller::onAnswer,
-            "ask",
-            this::onRequest,
-            "fetch",
-            this::onFetch,
-            "reply",
-            this::onReply);
+            NodeHello.KIND, (from, encoded) -> locator.onHello(from, NodeHello.of(encoded)),
+            EpochAnnouncement.KIND, this::onEpochAnnouncement,
+            NodePoll.KIND, this::onPoll,
+            PollResponse.KIND, (from, encoded) -> poller.onAnswer(from, PollResponse.of(encoded)),
+            PrimaryRequest.KIND, this::onRequest,
+            FetchOutcomeRequest.KIND, this::onFetch,
+            PrimaryReply.KIND, this::onReply);
   }
 
   /** Replays the whole write-ahead log; call before {@link #start()}. */
@@ -164,14 +172,13 @@
     core.steppedDown();
   }
 
-  private void onMembership(EpochRecord record, FleetUpdate fleet) {
-    onEpochRecord(record);
-    if (fleet != null) {
-      locator.setNeighbours(fleet.neighbours());
-      fleet.heartbeatTargets().keySet().forEach(locator::addContact);
-      heartbeats.setTargets(fleet.heartbeatTargets());
-      dataPlane.fleet(fleet.nodesInZone(), fleet.rank());
-    }
+  private void onMembership(MembershipUpdate update) {
+    onEpochRecord(update.epochRecord());
+    FleetSummary fleet = update.fleet();
+    locator.setNeighbours(fleet.contacts());
+    fleet.coreNodeZones().keySet().forEach(locator::addContact);
+    heartbeats.setTargets(fleet.coreNodeZones());
+    dataPlane.fleet(fleet.nodesByZone(), fleet.rank());
   }
 
   /**
@@ -233,7 +240,7 @@
    * @param answer called once with the reply or null
    */
   public void ask(
-      WireRecord request, long timeoutMicros, long resendMicros, Consumer<WireRecord> answer) {
+      Encodable request, long timeoutMicros, long resendMicros, Consumer<WireRecord> answer) {
     requests.toPrimary(request, timeoutMicros, resendMicros, answer);
   }
 
@@ -248,10 +255,19 @@
       String holder, String key, String token, long timeoutMicros, Consumer<WireRecord> answer) {
     requests.toNode(
         holder,
-        new WireRecord("fetch").with("key", key).with("token", token),
+        new FetchOutcomeRequest(key, token),
         timeoutMicros,
         timeoutMicros / FETCH_ATTEMPTS + 1,
-        reply -> answer.accept(reply == null ? null : reply.nested("answer")));
+        reply -> answer.accept(reply == null ? null : outcomeIn(holder, reply)));
+  }
+
+  private WireRecord outcomeIn(String holder, WireRecord reply) {
+    try {
+      return FetchOutcomeReply.of(reply).outcome();
+    } catch (ProtocolException e) {
+      runtime.malformedMessage(holder, e);
+      return null;
+    }
   }
 
   /**
@@ -261,12 +277,12 @@
    *     certainly did not arrive, or with null if nothing is known of the outcome
    */
   public void askNode(
-      String node, WireRecord request, long timeoutMicros, Consumer<WireRecord> answer) {
+      String node, Encodable request, long timeoutMicros, Consumer<WireRecord> answer) {
     requests.toNodeOnce(node, request, timeoutMicros, answer);
   }
 
   /** Sends a message that needs no reply to one node. */
-  public void send(String node, WireRecord message) {
+  public void send(String node, Encodable message) {
     runtime.send(node, message);
   }
 
@@ -313,27 +329,27 @@
     return poller.outOfTouch();
   }
 
-  /** Takes a message of another node, or of this node to itself. */
+  /** Takes a message of another node, or of this node to itself; a malformed one is dropped. */
   public void onMessage(String from, WireRecord message) {
-    BiConsumer<String, WireRecord> handler = messageHandlers.get(message.kind());
-    if (handler != null) {
-      handler.accept(from, message);
-    } else if (!core.onMessage(from, message)) {
-      dataPlane.message(from, message, replyTo(from, message));
+    MessageHandler handler = messageHandlers.get(message.kind());
+    try {
+      if (handler != null) {
+        handler.handle(from, message);
+      } else if (!core.onMessage(from, message)) {
+        dataPlane.message(from, message, replyTo(from, message));
+      }
+    } catch (ProtocolException e) {
+      runtime.malformedMessage(from, e);
     }
   }
 
   private Consumer<WireRecord> replyTo(String from, WireRecord request) {
-    long requestId = request.number("rid");
-    return reply -> runtime.send(from, reply.with("rid", requestId));
+    long requestId = request.number(PrimaryRequest.REQUEST_ID);
+    return reply -> runtime.send(from, reply.with(PrimaryRequest.REQUEST_ID, requestId));
   }
 
-  private void onEpochAnnouncement(String from, WireRecord message) {
-    try {
-      onEpochRecord(EpochAnnouncement.of(message).record());
-    } catch (ProtocolException e) {
-      runtime.event("event=message_malformed from=" + from + " cause=" + e.getMessage());
-    }
+  private void onEpochAnnouncement(String from, WireRecord encoded) throws ProtocolException {
+    onEpochRecord(EpochAnnouncement.of(encoded).record());
   }
 
   private void onPoll(String from, WireRecord poll) {
@@ -346,17 +362,17 @@
     core.onRequest(request, replyTo(from, request));
   }
 
-  private void onFetch(String from, WireRecord fetch) {
-    WireRecord outcome = dataPlane.outcome(fetch.text("key"), fetch.text("token"));
-    runtime.send(
-        from, new WireRecord("reply").with("rid", fetch.number("rid")).with("answer", outcome));
+  private void onFetch(String from, WireRecord encoded) throws ProtocolException {
+    FetchOutcomeRequest request = FetchOutcomeRequest.of(encoded);
+    WireRecord outcome = dataPlane.outcome(request.key(), request.token());
+    runtime.send(from, new FetchOutcomeReply(encoded.number(PrimaryRequest.REQUEST_ID), outcome));
   }
 
-  private void onReply(String from, WireRecord reply) {
-    if (!reply.truth("moved")) {
+  private void onReply(String from, WireRecord reply) throws ProtocolException {
+    if (NotPrimaryReply.isIn(reply)) {
+      onEpochRecord(NotPrimaryReply.of(reply).epochRecord());
+    } else {
       requests.onReply(reply);
-    } else if (reply.has("record")) {
-      onEpochRecord(EpochRecord.of(reply.nested("record")));
     }
   }
 
--- a/src/main/java/org/otterpond/control/agent/CoreLocator.java
+++ b/src/main/java/org/otterpond/control/agent/CoreLocator.java
@@ -8,10 +8,10 @@
 import java.util.Set;
 import java.util.function.Supplier;
 import org.otterpond.control.bootstrap.CoreBootstrap;
+import org.otterpond.control.message.NodeHello;
 import org.otterpond.control.state.CoreMember;
 import org.otterpond.control.state.EpochAnnouncement;
 import org.otterpond.control.state.EpochRecord;
-import org.otterpond.protocol.WireRecord;
 import org.otterpond.runtime.NodeRuntime;
 
 /**
@@ -76,12 +76,12 @@
     }
     lastHelloAt = now;
     Optional<CoreMember> blankDisk = bootstrapDisk.get();
-    WireRecord message =
-        new WireRecord("hello")
-            .with("addr", identity.address())
-            .with("name", identity.name())
-            .with("zone", identity.zone())
-            .with("blank", blankDisk.map(CoreMember::diskId).orElse(null));
+    NodeHello message =
+        new NodeHello(
+            identity.address(),
+            identity.name(),
+            identity.zone(),
+            blankDisk.map(CoreMember::diskId).orElse(null));
     helloRecipients().forEach(address -> runtime.send(address, message));
     if (identity.seeds().contains(identity.address())) {
       blankDisk.ifPresent(bootstrap::blankDisk);
@@ -105,11 +105,10 @@
   }
 
   /** Answers a node that looks for the core, and notes its blank disk for the bootstrap. */
-  void onHello(String from, WireRecord hello) {
-    if (hello.has("blank")) {
+  void onHello(String from, NodeHello hello) {
+    if (hello.blankDiskId() != null) {
       bootstrap.blankDisk(
-          new CoreMember(
-              hello.text("blank"), hello.text("addr"), hello.text("name"), hello.text("zone")));
+          new CoreMember(hello.blankDiskId(), hello.address(), hello.name(), hello.zone()));
     }
     announceTo(from);
   }
--- a/src/main/java/org/otterpond/control/agent/ForwardedRequests.java
+++ b/src/main/java/org/otterpond/control/agent/ForwardedRequests.java
@@ -6,6 +6,9 @@
 import java.util.function.Consumer;
 import java.util.function.Predicate;
 import java.util.function.Supplier;
+import org.otterpond.control.message.PrimaryReply;
+import org.otterpond.control.message.PrimaryRequest;
+import org.otterpond.protocol.Encodable;
 import org.otterpond.protocol.WireRecord;
 import org.otterpond.runtime.NodeRuntime;
 
@@ -20,7 +23,10 @@
   /** The resend interval of a request that must not be executed by a late duplicate. */
   private static final long NEVER_RESEND = Long.MAX_VALUE / 2;
 
-  private static final String REQUEST_ID = "rid";
+  /** The field by which a node, or this type in its place, refuses a request. */
+  private static final String REFUSED = "no";
+
+  private static final String UNSENT = "unsent";
 
   private final NodeRuntime runtime;
   private final Supplier<String> primaryAddress;
@@ -41,9 +47,8 @@
     /** The connection on which the request was sent last. */
     long connection;
 
-    PendingRequest(
-        WireRecord message, String node, long resendMicros, Consumer<WireRecord> answer) {
-      this.message = message;
+    PendingRequest(Encodable message, String node, long resendMicros, Consumer<WireRecord> answer) {
+      this.message = message.toWireRecord();
       this.node = node;
       this.resendMicros = resendMicros;
       this.answer = answer;
@@ -69,14 +74,14 @@
 
   /** Sends to the primary, again after each resend interval, until the time-out. */
   void toPrimary(
-      WireRecord message, long timeoutMicros, long resendMicros, Consumer<WireRecord> answer) {
+      Encodable message, long timeoutMicros, long resendMicros, Consumer<WireRecord> answer) {
     start(new PendingRequest(message, null, resendMicros, answer), timeoutMicros);
   }
 
   /** Sends to one node, again after each resend interval, until the time-out. */
   void toNode(
       String node,
-      WireRecord message,
+      Encodable message,
       long timeoutMicros,
       long resendMicros,
       Consumer<WireRecord> answer) {
@@ -87,14 +92,13 @@
    * Sends to one node a single time. The answer is a reply with the field {@code no} = {@code
    * unsent} if the connection to the node never opened, and null if it was closed later.
    */
-  void toNodeOnce(
-      String node, WireRecord message, long timeoutMicros, Consumer<WireRecord> answer) {
+  void toNodeOnce(String node, Encodable message, long timeoutMicros, Consumer<WireRecord> answer) {
     start(new PendingRequest(message, node, NEVER_RESEND, answer), timeoutMicros);
   }
 
   private void start(PendingRequest request, long timeoutMicros) {
     long requestId = ++lastRequestId;
-    request.message.with(REQUEST_ID, requestId);
+    request.message.with(PrimaryRequest.REQUEST_ID, requestId);
     pending.put(requestId, request);
     send(request);
     runtime.after(timeoutMicros, () -> complete(requestId, null));
@@ -122,7 +126,7 @@
 
   /** Completes the request that the reply names; a reply to a completed request is ignored. */
   void onReply(WireRecord reply) {
-    complete(reply.number(REQUEST_ID), reply);
+    complete(reply.number(PrimaryRequest.REQUEST_ID), reply);
   }
 
   /** Sends the pending requests to the primary again, as another node has become primary. */
@@ -146,7 +150,7 @@
   void connectionNeverOpened(String address, long connection) {
     failAll(
         request -> request.sentOnceTo(address) && request.connection == connection,
-        () -> new WireRecord("reply").with("no", "unsent"));
+        () -> new WireRecord(PrimaryReply.KIND).with(REFUSED, UNSENT));
   }
 
   /** Fails the requests that were sent once to this node: whether they arrived is unknown. */
--- a/src/main/java/org/otterpond/control/agent/HeartbeatForwarder.java
+++ b/src/main/java/org/otterpond/control/agent/HeartbeatForwarder.java
@@ -5,9 +5,11 @@
 import java.util.Map;
 import java.util.function.BooleanSupplier;
 import java.util.function.Consumer;
+import org.otterpond.control.message.HeartbeatBatchRequest;
+import org.otterpond.control.message.WorkerReport;
+import org.otterpond.control.message.WorkerStateRequest;
 import org.otterpond.control.state.WorkerInstance;
 import org.otterpond.control.state.WorkerState;
-import org.otterpond.protocol.WireRecord;
 import org.otterpond.runtime.NodeRuntime;
 
 /**
@@ -27,7 +29,7 @@
   private final ForwardedRequests requests;
   private final BooleanSupplier outOfTouch;
 
-  private final Map<String, WireRecord> batch = new LinkedHashMap<>();
+  private final Map<String, WorkerReport> batch = new LinkedHashMap<>();
   private boolean batchScheduled;
 
   /** The zone of each node that takes heartbeats for others, by its address. */
@@ -67,14 +69,14 @@
 
   private void forwardDrain(WorkerInstance worker, Consumer<Boolean> acknowledged) {
     requests.toPrimary(
-        new WireRecord("ask").with("op", "beat").with("vessel", worker.toWireRecord(runtime.now())),
+        new WorkerStateRequest(WorkerReport.of(worker, runtime.now())),
         DRAIN_TIMEOUT_MICROS,
         DRAIN_RESEND_MICROS,
         reply -> acknowledged.accept(reply != null));
   }
 
   private void addToBatch(WorkerInstance worker, boolean sendNow) {
-    batch.put(worker.id(), worker.toWireRecord(runtime.now()));
+    batch.put(worker.id(), WorkerReport.of(worker, runtime.now()));
     if (sendNow) {
       sendBatch();
     } else if (!batchScheduled) {
@@ -88,8 +90,7 @@
     if (batch.isEmpty()) {
       return;
     }
-    WireRecord message =
-        new WireRecord("ask").with("op", "beats").withRecords("beats", batch.values());
+    HeartbeatBatchRequest message = new HeartbeatBatchRequest(List.copyOf(batch.values()));
     batch.clear();
     requests.toPrimary(message, BATCH_TIMEOUT_MICROS, BATCH_RESEND_MICROS, reply -> {});
   }
--- a/src/main/java/org/otterpond/control/agent/QuotaCache.java
+++ b/src/main/java/org/otterpond/control/agent/QuotaCache.java
@@ -4,6 +4,12 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import org.otterpond.control.message.LendTokensReply;
+import org.otterpond.control.message.LendTokensRequest;
+import org.otterpond.control.message.QuotaAccount;
+import org.otterpond.control.message.TokenDemand;
+import org.otterpond.control.message.TokenGrant;
+import org.otterpond.protocol.ProtocolException;
 import org.otterpond.protocol.WireRecord;
 import org.otterpond.runtime.NodeRuntime;
 
@@ -31,6 +37,9 @@
   /** The result of a grant after which there is no reason to ask again. */
   private static final long NO_RETRY = Long.MAX_VALUE;
 
+  /** The field of an encoded grant that says when to ask again, in microseconds. */
+  private static final String RETRY_AFTER = "again";
+
   private final NodeRuntime runtime;
   private final ForwardedRequests requests;
   private final long incarnation;
@@ -130,22 +139,28 @@
   }
 
   /**
-   * Encodes one tenant's part of a request to the quota owner: the totals, how many tokens are
-   * needed, and how many are wanted as a reserve. The totals count as reported.
+   * One tenant's part of a request to the quota owner: the totals, how many tokens are needed, and
+   * how many are wanted as a reserve. The totals count as reported.
    */
-  public WireRecord part(String tenant, int need) {
+  public TokenDemand demand(String tenant, int needed) {
     TenantTokens tokens = tokens(tenant);
     tokens.expire(runtime.now());
     tokens.markReported();
-    return new WireRecord("part")
-        .with("tenant", tenant)
-        .with("used", tokens.used())
-        .with("returned", tokens.returned())
-        .with("need", need)
-        .with("spare", tokens.reserveWanted());
+    return new TokenDemand(
+        tenant, tokens.used(), tokens.returned(), needed, tokens.reserveWanted());
+  }
+
+  /** The part of a request to the quota owner that carries these demands. */
+  public QuotaAccount account(List<TokenDemand> demands) {
+    return new QuotaAccount(demands, incarnation, ownerTerm);
+  }
+
+  /** The encoded form of {@link #demand(String, int)}. */
+  public WireRecord part(String tenant, int needed) {
+    return demand(tenant, needed).toWireRecord();
   }
 
-  /** Adds the fields that every request with a tenant's part carries. */
+  /** Adds the fields of {@link #account(List)} to an encoded request. */
   public WireRecord sign(WireRecord request) {
     return request.with("life", incarnation).with("term", ownerTerm);
   }
@@ -154,40 +169,41 @@
     if (requestPending) {
       return;
     }
-    List<WireRecord> parts = requestParts();
-    if (parts.isEmpty()) {
+    List<TokenDemand> demands = demands();
+    if (demands.isEmpty()) {
       return;
     }
     requestPending = true;
     long requestedAt = runtime.now();
     requests.toPrimary(
-        sign(new WireRecord("ask").with("op", "lend").withRecords("tenants", parts)),
+        new LendTokensRequest(account(demands)),
         REQUEST_TIMEOUT_MICROS,
         REQUEST_RESEND_MICROS,
         reply -> onReply(reply, requestedAt));
   }
 
-  private List<WireRecord> requestParts() {
-    List<WireRecord> parts = new ArrayList<>();
+  private List<TokenDemand> demands() {
+    List<TokenDemand> demands = new ArrayList<>();
     for (TenantTokens tokens : tenants.values()) {
       tokens.removeCancelledWaiters();
       if (tokens.hasWaiters() || tokens.hasUnreportedUse()) {
-        parts.add(part(tokens.tenant, tokens.waiterCount()));
+        demands.add(demand(tokens.tenant, tokens.waiterCount()));
       }
     }
-    return parts;
+    return demands;
   }
 
-  private void onReply(WireRecord reply, long requestedAt) {
+  private void onReply(WireRecord encoded, long requestedAt) {
     requestPending = false;
+    LendTokensReply reply = encoded == null ? null : decode(encoded, LendTokensReply::of);
     if (reply == null) {
       // Tokens in a lost reply are never used: the owner counts them until they expire.
       scheduleRequest(COLLECT_MICROS);
       return;
     }
     long retryMicros = NO_RETRY;
-    for (WireRecord grant : reply.records("lent")) {
-      retryMicros = Math.min(retryMicros, lent(reply.number("term"), grant, requestedAt, true));
+    for (TokenGrant grant : reply.grants()) {
+      retryMicros = Math.min(retryMicros, lent(reply.term(), grant, requestedAt, true));
     }
     if (retryMicros < NO_RETRY) {
       scheduleRequest(retryDelay(retryMicros));
@@ -196,28 +212,48 @@
     }
   }
 
+  /** Reads a part of a message; throws {@code ProtocolException} if it is malformed. */
+  private interface Decoder<T> {
+    T decode(WireRecord encoded) throws ProtocolException;
+  }
+
+  private <T> T decode(WireRecord encoded, Decoder<T> decoder) {
+    try {
+      return decoder.decode(encoded);
+    } catch (ProtocolException e) {
+      runtime.malformedMessage("primary", e);
+      return null;
+    }
+  }
+
   /**
    * Adds the tokens of one grant.
    *
    * @param term the term of the owner that granted them
-   * @param grant one tenant's grant as the owner encoded it
+   * @param grant one tenant's grant
    * @param requestedAt when the tokens were requested, in microseconds of the monotonic clock
    * @param serveWaiters whether waiting callers get the tokens
    * @return after how many microseconds to ask again for the callers that still wait, {@link
    *     Long#MAX_VALUE} if there are none
    */
-  public long lent(long term, WireRecord grant, long requestedAt, boolean serveWaiters) {
+  public long lent(long term, TokenGrant grant, long requestedAt, boolean serveWaiters) {
     if (term != ownerTerm) {
       // Another owner: the totals start again, and the former owner's tokens are left to expire.
       ownerTerm = term;
       tenants.values().forEach(TenantTokens::reset);
     }
-    TenantTokens tokens = tokens(grant.text("tenant"));
-    tokens.add((int) grant.number("count"), requestedAt + lendingMicros);
+    TenantTokens tokens = tokens(grant.tenant());
+    tokens.add(grant.count(), requestedAt + lendingMicros);
     return serveWaiters ? serveWaiters(tokens, grant) : NO_RETRY;
   }
 
-  private long serveWaiters(TenantTokens tokens, WireRecord grant) {
+  /** Adds the tokens of an encoded grant; one that is malformed is logged and adds none. */
+  public long lent(long term, WireRecord encoded, long requestedAt, boolean serveWaiters) {
+    TokenGrant grant = decode(encoded, TokenGrant::of);
+    return grant == null ? NO_RETRY : lent(term, grant, requestedAt, serveWaiters);
+  }
+
+  private long serveWaiters(TenantTokens tokens, TokenGrant grant) {
     Taker waiter = tokens.nextWaiter();
     while (waiter != null && take(tokens)) {
       tokens.removeFirstWaiter();
@@ -227,23 +263,37 @@
     if (waiter == null) {
       return NO_RETRY;
     }
-    if (grant.truth("over")) {
-      double seconds = retryAfter(grant);
+    if (grant.overQuota()) {
+      double seconds = retryAfterSeconds(grant.retryAfterMicros());
       tokens.removeAllWaiters().forEach(denied -> denied.over(seconds));
       return NO_RETRY;
     }
-    return grant.number("again");
+    return grant.retryAfterMicros();
   }
 
-  /** After how many seconds a caller over its quota should retry, by the owner's grant. */
+  /** After how many seconds a caller over its quota should retry, by the owner's encoded grant. */
   public static double retryAfter(WireRecord grant) {
-    double seconds = grant.number("again") / MICROS_PER_SECOND;
+    return retryAfterSeconds(grant.number(RETRY_AFTER));
+  }
+
+  /** After how many seconds a caller over its quota should retry, by the owner's grant. */
+  public static double retryAfter(TokenGrant grant) {
+    return retryAfterSeconds(grant.retryAfterMicros());
+  }
+
+  private static double retryAfterSeconds(long micros) {
+    double seconds = micros / MICROS_PER_SECOND;
     return Math.max(MIN_RETRY_AFTER_SECONDS, Math.min(MAX_RETRY_AFTER_SECONDS, seconds));
   }
 
-  /** After how many microseconds to ask again where the owner could lend nothing yet. */
+  /** After how many microseconds to ask again, by an encoded grant without tokens. */
   public static long pause(WireRecord grant) {
-    return retryDelay(grant.number("again"));
+    return retryDelay(grant.number(RETRY_AFTER));
+  }
+
+  /** After how many microseconds to ask again, by a grant without tokens. */
+  public static long pause(TokenGrant grant) {
+    return retryDelay(grant.retryAfterMicros());
   }
 
   private static long retryDelay(long wantedMicros) {
--- a/src/main/java/org/otterpond/control/agent/UpdateApplier.java
+++ b/src/main/java/org/otterpond/control/agent/UpdateApplier.java
@@ -4,10 +4,15 @@
 import java.util.List;
 import java.util.Map;
 import java.util.function.LongFunction;
+import org.otterpond.control.message.AssignmentUpdate;
+import org.otterpond.control.message.PollResponse;
+import org.otterpond.control.message.WorkerReport;
+import org.otterpond.control.message.WorkerTable;
+import org.otterpond.control.message.WorkerTableUpdate;
 import org.otterpond.control.primary.DataPlane;
+import org.otterpond.control.state.ConfigurationUpdate;
 import org.otterpond.control.state.ParsedConfiguration;
 import org.otterpond.control.state.WorkerInstance;
-import org.otterpond.protocol.CompressedPayload;
 import org.otterpond.protocol.ProtocolException;
 import org.otterpond.protocol.WireRecord;
 import org.otterpond.runtime.NodeRuntime;
@@ -69,59 +74,55 @@
     return assignmentNumber;
   }
 
-  /** Hands the configuration or the changes in an answer, if any, to the parser. */
-  void applyConfiguration(WireRecord answer) {
-    if (answer.has("cfg")) {
-      configuration.receive(answer, parsedByPrimary.apply(answer.number("cfg")));
-    }
+  /** Hands a new configuration, or the changes to it, to the parser. */
+  void applyConfiguration(ConfigurationUpdate update) {
+    configuration.receive(update, parsedByPrimary.apply(update.revision()));
   }
 
-  /** Merges the changed workers, or the whole table, into the roster. */
-  void applyWorkers(WireRecord answer) {
-    long now = runtime.now();
-    answer.records("table").forEach(worker -> roster.merge(WorkerInstance.of(worker, now)));
-    if (answer.has("whole")) {
-      applyWholeTable(answer, now);
-    }
-    tableVersion = answer.number("ver");
-    tableEpoch = answer.number("epoch");
+  /** Merges the changed workers, or the complete table, into the roster. */
+  void applyWorkers(PollResponse response) {
+    response.workers().ifPresent(this::applyTableUpdate);
+    tableVersion = response.header().workerTableVersion();
+    tableEpoch = response.header().epoch();
   }
 
-  private void applyWholeTable(WireRecord answer, long now) {
-    List<WireRecord> rows;
+  private void applyTableUpdate(WorkerTableUpdate update) {
+    long now = runtime.now();
+    if (update.complete() == null) {
+      update.changed().forEach(report -> roster.merge(report.worker(now)));
+      return;
+    }
+    WorkerTable table;
     try {
-      rows = CompressedPayload.unpack(answer.bytes("whole")).records("table");
+      table = WorkerTable.of(update.complete());
     } catch (ProtocolException e) {
       runtime.event("event=worker_table_unreadable cause=" + e.getMessage());
       return;
     }
     Map<String, WorkerInstance> primaryTable = new LinkedHashMap<>();
-    for (WireRecord row : rows) {
-      WorkerInstance worker = WorkerInstance.of(row, now);
+    for (WorkerReport report : table.workers()) {
+      WorkerInstance worker = report.worker(now);
       primaryTable.put(worker.id(), worker);
       roster.merge(worker);
     }
-    if (answer.truth("want")) {
+    if (update.reportDifferences()) {
       roster.compareWith(primaryTable);
     }
   }
 
   /** Hands new assignments to the data plane, in their order. */
-  void applyAssignments(WireRecord answer) {
-    if (!answer.has("asno") || answer.number("asno") <= assignmentNumber) {
+  void applyAssignments(AssignmentUpdate update) {
+    if (update.number() <= assignmentNumber) {
       return;
     }
-    List<WireRecord> assignments;
+    List<WireRecord> entries;
     try {
-      assignments =
-          answer.has("aswhole")
-              ? CompressedPayload.unpack(answer.bytes("aswhole")).records("entries")
-              : answer.records("as");
+      entries = update.entries();
     } catch (ProtocolException e) {
       runtime.event("event=assignments_unreadable cause=" + e.getMessage());
       return;
     }
-    assignmentNumber = answer.number("asno");
-    assignments.forEach(dataPlane::assigned);
+    assignmentNumber = update.number();
+    entries.forEach(dataPlane::assigned);
   }
 }
--- a/src/main/java/org/otterpond/control/agent/UpdatePoller.java
+++ b/src/main/java/org/otterpond/control/agent/UpdatePoller.java
@@ -1,10 +1,16 @@
 package org.otterpond.control.agent;
 
-import java.util.List;
+import java.util.OptionalLong;
+import java.util.function.Consumer;
+import org.otterpond.control.message.KnownVersions;
+import org.otterpond.control.message.MembershipUpdate;
+import org.otterpond.control.message.NodePoll;
+import org.otterpond.control.message.PollReports;
+import org.otterpond.control.message.PollResponse;
+import org.otterpond.control.message.PollResponseHeader;
+import org.otterpond.control.message.PollingNode;
+import org.otterpond.control.message.WorkerReport;
 import org.otterpond.control.primary.DataPlane;
-import org.otterpond.control.state.EpochRecord;
-import org.otterpond.control.state.WorkerInstance;
-import org.otterpond.protocol.WireRecord;
 import org.otterpond.runtime.NodeRuntime;
 
 /**
@@ -27,7 +33,7 @@
   private final WorkerRoster roster;
   private final ActiveConfiguration configuration;
   private final UpdateApplier applier;
-  private final MembershipListener listener;
+  private final Consumer<MembershipUpdate> onMembership;
 
   private long pollNumber;
   private String polledAddress;
@@ -41,19 +47,18 @@
 
   private long configurationFreshAt = Long.MIN_VALUE / 2;
 
-  /** Receives what an answer says about the core and the fleet, before the rest is applied. */
-  interface MembershipListener {
-    /** The record of the primary's epoch, and the fleet digest for this node or null. */
-    void onMembership(EpochRecord record, FleetUpdate fleet);
-  }
-
-  /** Creates a poller that has not polled yet. */
+  /**
+   * Creates a poller that has not polled yet.
+   *
+   * @param onMembership called with the epoch and the fleet in an answer, before the rest of the
+   *     answer is applied
+   */
   UpdatePoller(
       NodeRuntime runtime,
       CoreLocator locator,
       DataPlane dataPlane,
       UpdateApplier applier,
-      MembershipListener listener) {
+      Consumer<MembershipUpdate> onMembership) {
     this.runtime = runtime;
     this.identity = locator.identity();
     this.locator = locator;
@@ -61,7 +66,7 @@
     this.roster = applier.roster();
     this.configuration = applier.configuration();
     this.applier = applier;
-    this.listener = listener;
+    this.onMembership = onMembership;
     // An answer to a poll of an earlier incarnation must not pass for one to this incarnation's.
     this.pollNumber = identity.requestIdBase();
   }
@@ -119,59 +124,55 @@
     runtime.send(polledAddress, pollMessage());
   }
 
-  private WireRecord pollMessage() {
-    WireRecord poll =
-        new WireRecord("poll")
-            .with("addr", identity.address())
-            .with("name", identity.name())
-            .with("zone", identity.zone())
-            .with("disk", identity.diskId())
-            .with("life", identity.incarnation())
-            .with("epoch", applier.tableEpoch())
-            .with("table", applier.tableVersion())
-            .with("cfg", configuration.newestReceived())
-            .with("pn", ++pollNumber)
-            .with("changes", configuration.needsFullText() ? null : true)
-            .with("as", applier.assignmentNumber())
-            .with("store", identity.storeId())
-            .with("figures", dataPlane.figures());
-    if (answeredEpoch != locator.known().epoch()) {
-      poll.with("sum", roster.checksum());
-    }
-    List<WireRecord> keyLoad = dataPlane.heat();
-    if (!keyLoad.isEmpty()) {
-      poll.withRecords("heat", keyLoad);
-    }
-    List<WorkerInstance> reports = roster.takeUnreported();
-    if (!reports.isEmpty()) {
-      long now = runtime.now();
-      poll.withRecords("tell", reports.stream().map(worker -> worker.toWireRecord(now)).toList());
-    }
-    return poll;
+  private NodePoll pollMessage() {
+    PollingNode node =
+        new PollingNode(
+            identity.address(),
+            identity.name(),
+            identity.zone(),
+            identity.diskId(),
+            identity.incarnation(),
+            identity.storeId());
+    return new NodePoll(
+        node, knownVersions(), ++pollNumber, !configuration.needsFullText(), reports());
+  }
+
+  private KnownVersions knownVersions() {
+    boolean compareTables = answeredEpoch != locator.known().epoch();
+    return new KnownVersions(
+        applier.tableEpoch(),
+        applier.tableVersion(),
+        configuration.newestReceived(),
+        applier.assignmentNumber(),
+        compareTables ? OptionalLong.of(roster.checksum()) : OptionalLong.empty());
+  }
+
+  private PollReports reports() {
+    return new PollReports(
+        dataPlane.figures(),
+        dataPlane.heat(),
+        WorkerReport.of(roster.takeUnreported(), runtime.now()));
   }
 
   /** Applies the primary's answer to the poll that is waiting; any other is ignored. */
-  void onAnswer(String from, WireRecord answer) {
+  void onAnswer(String from, PollResponse answer) {
+    PollResponseHeader header = answer.header();
     if (!from.equals(locator.primaryAddress())
-        || answer.number("epoch") < locator.known().epoch()
-        || answer.number("pn") != pollNumber) {
+        || header.epoch() < locator.known().epoch()
+        || header.pollNumber() != pollNumber) {
       return;
     }
     waiting = false;
     connectionLost = false;
     lastAnswerAt = runtime.now();
-    if (answer.has("record")) {
-      WireRecord fleet = answer.nested("fleet");
-      listener.onMembership(
-          EpochRecord.of(answer.nested("record")), fleet == null ? null : FleetUpdate.of(fleet));
-    }
-    answeredEpoch = answer.number("epoch");
-    applier.applyConfiguration(answer);
-    if (configuration.current().revision() >= answer.number("rev")) {
-      configurationFreshAt = Math.max(configurationFreshAt, polledAt - answer.number("back"));
+    answer.membership().ifPresent(onMembership);
+    answeredEpoch = header.epoch();
+    answer.configuration().ifPresent(applier::applyConfiguration);
+    if (configuration.current().revision() >= header.committedRevision()) {
+      configurationFreshAt = Math.max(configurationFreshAt, polledAt - header.authorityAgeMicros());
     }
     applier.applyWorkers(answer);
-    applier.applyAssignments(answer);
+    answer.assignments().ifPresent(applier::applyAssignments);
     pollUnlessWaiting();
   }
 }
--- a/src/test/java/org/otterpond/control/agent/ActiveConfigurationTest.java
+++ b/src/test/java/org/otterpond/control/agent/ActiveConfigurationTest.java
@@ -6,8 +6,10 @@
 
 import java.util.List;
 import org.junit.jupiter.api.Test;
+import org.otterpond.control.state.CompressedBytes;
+import org.otterpond.control.state.ConfigurationChange;
+import org.otterpond.control.state.ConfigurationUpdate;
 import org.otterpond.protocol.CompressedPayload;
-import org.otterpond.protocol.WireRecord;
 
 class ActiveConfigurationTest {
   private final RecordingRuntime runtime = new RecordingRuntime();
@@ -15,20 +17,20 @@
   private final ActiveConfiguration configuration =
       new ActiveConfiguration(runtime, dataPlane::configured);
 
-  private static WireRecord fullText(long revision) {
+  private static ConfigurationUpdate fullText(long revision) {
     String text =
         "{\"revision\":" + revision + ",\"route_table\":[],\"service_table\":[{\"name\":\"s\"}]}";
-    return new WireRecord("news").with("cfg", revision).with("text", CompressedPayload.pack(text));
+    return ConfigurationUpdate.complete(revision, CompressedPayload.pack(text));
   }
 
-  private static WireRecord change(long base, long revision) {
+  private static ConfigurationUpdate change(long base, long revision) {
     String text = "{\"revision\":" + revision + ",\"service_table\":[{\"name\":\"t\"}]}";
-    WireRecord change =
-        new WireRecord("change")
-            .with("base", base)
-            .with("rev", revision)
-            .with("change", CompressedPayload.pack(text));
-    return new WireRecord("news").with("cfg", revision).withRecords("changes", List.of(change));
+    return changes(base, revision, CompressedBytes.ofText(text));
+  }
+
+  private static ConfigurationUpdate changes(long base, long revision, CompressedBytes text) {
+    return ConfigurationUpdate.incremental(
+        revision, List.of(new ConfigurationChange(base, revision, text)));
   }
 
   @Test
@@ -62,10 +64,7 @@
   @Test
   void unreadableChangeAsksForTheFullText() {
     configuration.receive(fullText(1), null);
-    WireRecord change =
-        new WireRecord("change").with("base", 1L).with("rev", 2L).with("change", new byte[] {1});
-    configuration.receive(
-        new WireRecord("news").with("cfg", 2L).withRecords("changes", List.of(change)), null);
+    configuration.receive(changes(1, 2, CompressedBytes.of(new byte[] {1})), null);
 
     assertTrue(configuration.needsFullText());
     assertTrue(
--- a/src/test/java/org/otterpond/control/agent/CoreLocatorTest.java
+++ b/src/test/java/org/otterpond/control/agent/CoreLocatorTest.java
@@ -11,11 +11,11 @@
 import java.util.stream.Collectors;
 import org.junit.jupiter.api.Test;
 import org.otterpond.control.bootstrap.CoreBootstrap;
+import org.otterpond.control.message.NodeHello;
 import org.otterpond.control.state.CoreMember;
 import org.otterpond.control.state.EpochAnnouncement;
 import org.otterpond.control.state.EpochRecord;
 import org.otterpond.control.state.FaultTolerance;
-import org.otterpond.protocol.WireRecord;
 
 class CoreLocatorTest {
   private static final long HELLO_INTERVAL = 250 * MILLIS;
@@ -94,7 +94,7 @@
 
     locator.announceToNeighbours();
     assertEquals(Set.of("n1", "n2"), recipients());
-    locator.onHello("n3", new WireRecord("hello").with("addr", "n3"));
+    locator.onHello("n3", new NodeHello("n3", "n3", "z", null));
 
     RecordingRuntime.Sent answer = runtime.takeOnlySent();
     assertEquals("n3", answer.to());
@@ -103,7 +103,7 @@
 
   @Test
   void helloIsNotAnsweredWhileTheCoreIsUnknown() {
-    locator.onHello("n3", new WireRecord("hello").with("addr", "n3"));
+    locator.onHello("n3", new NodeHello("n3", "n3", "z", null));
 
     assertTrue(runtime.takeSent().isEmpty());
   }
--- a/src/test/java/org/otterpond/control/agent/ForwardedRequestsTest.java
+++ b/src/test/java/org/otterpond/control/agent/ForwardedRequestsTest.java
@@ -56,7 +56,7 @@
 
   @Test
   void overdueRequestIsSentAgainWithItsIdentifier() {
-    long requestId = requestToPrimary();
+    final long requestId = requestToPrimary();
 
     runtime.run(RESEND - 1);
     requests.resendOverdue(runtime.now());
--- a/src/test/java/org/otterpond/control/agent/QuotaCacheTest.java
+++ b/src/test/java/org/otterpond/control/agent/QuotaCacheTest.java
@@ -9,6 +9,9 @@
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
+import org.otterpond.control.message.LendTokensReply;
+import org.otterpond.control.message.TokenDemand;
+import org.otterpond.control.message.TokenGrant;
 import org.otterpond.protocol.WireRecord;
 
 class QuotaCacheTest {
@@ -41,19 +44,13 @@
     };
   }
 
-  private static WireRecord grant(int count, long againMicros) {
-    return new WireRecord("lent")
-        .with("tenant", TENANT)
-        .with("count", count)
-        .with("again", againMicros);
+  private static TokenGrant grant(int count, long retryAfterMicros) {
+    return new TokenGrant(TENANT, count, retryAfterMicros, /* overQuota= */ false);
   }
 
-  private void reply(WireRecord request, WireRecord grant) {
-    requests.onReply(
-        new WireRecord("reply")
-            .with("rid", request.number("rid"))
-            .with("term", TERM)
-            .withRecords("lent", List.of(grant)));
+  private void reply(WireRecord request, TokenGrant grant) {
+    WireRecord reply = new LendTokensReply(TERM, List.of(grant)).toWireRecord();
+    requests.onReply(reply.with("rid", request.number("rid")));
   }
 
   @Test
@@ -75,7 +72,9 @@
     cache.want(TENANT, caller("a", true));
     runtime.run(COLLECT);
 
-    reply(runtime.takeOnlySent().message(), grant(0, SECONDS).with("over", true));
+    reply(
+        runtime.takeOnlySent().message(),
+        new TokenGrant(TENANT, 0, SECONDS, /* overQuota= */ true));
 
     assertEquals(List.of("a over 1.0"), outcomes);
   }
@@ -102,7 +101,7 @@
     runtime.run(1);
 
     assertFalse(cache.take(TENANT));
-    assertEquals(2, cache.part(TENANT, 1).number("used"));
+    assertEquals(2, cache.demand(TENANT, 1).used());
   }
 
   @Test
@@ -113,8 +112,8 @@
     cache.lent(TERM + 1, grant(0, 0), runtime.now(), false);
 
     assertFalse(cache.take(TENANT));
-    assertEquals(0, cache.part(TENANT, 1).number("used"));
-    assertEquals(TERM + 1, cache.sign(new WireRecord("ask")).number("term"));
+    assertEquals(0, cache.demand(TENANT, 1).used());
+    assertEquals(TERM + 1, cache.account(List.of()).term());
   }
 
   @Test
@@ -124,22 +123,22 @@
     runtime.run(LENDING / 2 + 1);
     cache.sweep();
 
-    WireRecord part = cache.part(TENANT, 0);
-    assertEquals(3, part.number("used"));
-    assertEquals(3, part.number("returned"));
+    TokenDemand demand = cache.demand(TENANT, 0);
+    assertEquals(3, demand.used());
+    assertEquals(3, demand.returned());
   }
 
   @Test
   void reserveIsWantedOnlyUnderSteadyUse() {
     cache.lent(TERM, grant(20, 0), runtime.now(), false);
     assertTrue(cache.take(TENANT));
-    assertEquals(0, cache.part(TENANT, 0).number("spare"));
+    assertEquals(0, cache.demand(TENANT, 0).spare());
 
     while (cache.take(TENANT)) {
       runtime.run(MILLIS);
     }
 
-    assertEquals(4, cache.part(TENANT, 0).number("spare"));
+    assertEquals(4, cache.demand(TENANT, 0).spare());
   }
 
   @Test
@@ -149,4 +148,17 @@
     assertEquals(20 * MILLIS, QuotaCache.pause(grant(0, 0)));
     assertEquals(120 * MILLIS, QuotaCache.pause(grant(0, SECONDS)));
   }
+
+  @Test
+  void malformedReplyIsLoggedAndTheOwnerAskedAgain() {
+    cache.want(TENANT, caller("a", true));
+    runtime.run(COLLECT);
+    WireRecord request = runtime.takeOnlySent().message();
+
+    requests.onReply(new WireRecord("reply").with("rid", request.number("rid")));
+    runtime.run(COLLECT);
+
+    assertTrue(runtime.events().get(0).startsWith("event=malformed_message"));
+    assertEquals("lend", runtime.takeOnlySent().message().text("op"));
+  }
 }
--- a/src/test/java/org/otterpond/control/agent/TestDataPlane.java
+++ b/src/test/java/org/otterpond/control/agent/TestDataPlane.java
@@ -1,7 +1,6 @@
 package org.otterpond.control.agent;
 
 import java.util.ArrayList;
-import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
 import org.otterpond.config.GatewayConfiguration;
@@ -14,7 +13,6 @@
   final List<Long> revisions = new ArrayList<>();
   final List<WorkerInstance> workers = new ArrayList<>();
   final List<WireRecord> assignments = new ArrayList<>();
-  final Map<String, Integer> nodesInZone = new HashMap<>();
 
   @Override
   public void configured(GatewayConfiguration configuration) {
@@ -28,7 +26,7 @@
 
   @Override
   public void fleet(Map<String, Integer> nodes, int rank) {
-    nodesInZone.putAll(nodes);
+    // Nothing is routed here.
   }
 
   @Override
--- a/src/test/java/org/otterpond/control/agent/UpdatePollerTest.java
+++ b/src/test/java/org/otterpond/control/agent/UpdatePollerTest.java
@@ -7,11 +7,20 @@
 
 import java.util.ArrayList;
 import java.util.List;
+import java.util.Map;
+import java.util.Optional;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
+import org.otterpond.control.message.AssignmentUpdate;
+import org.otterpond.control.message.FleetSummary;
+import org.otterpond.control.message.MembershipUpdate;
+import org.otterpond.control.message.PollResponse;
+import org.otterpond.control.message.PollResponseHeader;
+import org.otterpond.control.message.WorkerTable;
+import org.otterpond.control.message.WorkerTableUpdate;
+import org.otterpond.control.state.CompressedBytes;
 import org.otterpond.control.state.EpochRecord;
 import org.otterpond.control.state.WorkerState;
-import org.otterpond.protocol.CompressedPayload;
 import org.otterpond.protocol.WireRecord;
 
 class UpdatePollerTest {
@@ -28,10 +37,9 @@
           roster,
           new ActiveConfiguration(runtime, dataPlane::configured),
           revision -> null);
-  private final List<EpochRecord> records = new ArrayList<>();
+  private final List<MembershipUpdate> memberships = new ArrayList<>();
   private final UpdatePoller poller =
-      new UpdatePoller(
-          runtime, locator, dataPlane, applier, (record, fleet) -> records.add(record));
+      new UpdatePoller(runtime, locator, dataPlane, applier, memberships::add);
 
   @BeforeEach
   void primaryIsKnown() {
@@ -43,13 +51,27 @@
     return runtime.takeOnlySent().message();
   }
 
-  private static WireRecord answerTo(WireRecord poll) {
-    return new WireRecord("news")
-        .with("epoch", EPOCH)
-        .with("ver", 3L)
-        .with("pn", poll.number("pn"))
-        .with("rev", 0L)
-        .with("back", 0L);
+  /** The header of an answer without newer data. */
+  private static PollResponseHeader header(WireRecord poll) {
+    return new PollResponseHeader(EPOCH, 3, poll.number("pn"), 0, 0);
+  }
+
+  private static PollResponse answer(PollResponseHeader header) {
+    return answer(header, null, null);
+  }
+
+  private static PollResponse answer(
+      PollResponseHeader header, WorkerTableUpdate workers, AssignmentUpdate assignments) {
+    return new PollResponse(
+        header,
+        Optional.empty(),
+        Optional.empty(),
+        Optional.ofNullable(workers),
+        Optional.ofNullable(assignments));
+  }
+
+  private static PollResponse answerTo(WireRecord poll) {
+    return answer(header(poll));
   }
 
   private boolean polledAgain() {
@@ -84,8 +106,8 @@
     WireRecord poll = poll();
 
     poller.onAnswer("other", answerTo(poll));
-    poller.onAnswer("p", answerTo(poll).with("epoch", EPOCH - 1));
-    poller.onAnswer("p", answerTo(poll).with("pn", poll.number("pn") - 1));
+    poller.onAnswer("p", answer(new PollResponseHeader(EPOCH - 1, 3, poll.number("pn"), 0, 0)));
+    poller.onAnswer("p", answer(new PollResponseHeader(EPOCH, 3, poll.number("pn") - 1, 0, 0)));
 
     assertFalse(polledAgain());
     assertEquals(0, applier.tableVersion());
@@ -106,6 +128,24 @@
     assertEquals(List.of("hello", "poll"), kinds);
   }
 
+  @Test
+  void membershipIsPassedOn() {
+    EpochRecord record = CoreLocatorTest.epoch("f", EPOCH, "p");
+    FleetSummary fleet = new FleetSummary(Map.of("z", 1), 0, List.of(), Map.of());
+    MembershipUpdate update = new MembershipUpdate(record, fleet);
+
+    poller.onAnswer(
+        "p",
+        new PollResponse(
+            header(poll()),
+            Optional.of(update),
+            Optional.empty(),
+            Optional.empty(),
+            Optional.empty()));
+
+    assertEquals(List.of(update), memberships);
+  }
+
   @Test
   void newPrimaryIsPolledAtOnce() {
     poll();
@@ -128,7 +168,7 @@
   }
 
   @Test
-  void nodeIsOutOfTouchAfterTheTimeOfATakeoverWithoutAnswer() {
+  void nodeIsOutOfTouchAfterTakeoverTimeWithoutAnswer() {
     assertTrue(poller.outOfTouch());
     poller.onAnswer("p", answerTo(poll()));
     assertFalse(poller.outOfTouch());
@@ -146,16 +186,16 @@
     WireRecord poll = poll();
     runtime.run(500 * MILLIS);
 
-    poller.onAnswer("p", answerTo(poll).with("back", 20L));
+    poller.onAnswer("p", answer(new PollResponseHeader(EPOCH, 3, poll.number("pn"), 0, 20)));
 
     assertEquals(polledAt - 20, poller.configurationFreshAt());
   }
 
   @Test
-  void configurationIsNotFreshWhileANewerRevisionIsMissing() {
+  void configurationIsNotFreshWhileNewerRevisionIsMissing() {
     long before = poller.configurationFreshAt();
 
-    poller.onAnswer("p", answerTo(poll()).with("rev", 1L));
+    poller.onAnswer("p", answer(new PollResponseHeader(EPOCH, 3, poll().number("pn"), 1, 0)));
 
     assertEquals(before, poller.configurationFreshAt());
   }
@@ -163,10 +203,10 @@
   @Test
   void workersUnknownToThePrimaryAreReportedWithTheNextPoll() {
     roster.merge(WorkerRosterTest.worker("w1", WorkerState.IN_SERVICE, 1));
-    WireRecord emptyTable = new WireRecord("table").withRecords("table", List.of());
+    CompressedBytes emptyTable = new WorkerTable(List.of()).compressed();
 
     poller.onAnswer(
-        "p", answerTo(poll()).with("whole", CompressedPayload.pack(emptyTable)).with("want", true));
+        "p", answer(header(poll()), WorkerTableUpdate.complete(emptyTable, true), null));
 
     List<WireRecord> reports = runtime.takeOnlySent().message().records("tell");
     assertEquals(List.of("w1"), reports.stream().map(report -> report.text("id")).toList());
@@ -175,11 +215,11 @@
   @Test
   void assignmentsAreAppliedOnce() {
     WireRecord assignment = new WireRecord("assign").with("key", "k");
-    WireRecord answer = answerTo(poll()).with("asno", 4L).withRecords("as", List.of(assignment));
+    AssignmentUpdate update = AssignmentUpdate.incremental(4, List.of(assignment));
 
-    poller.onAnswer("p", answer);
+    poller.onAnswer("p", answer(header(poll()), null, update));
     WireRecord next = runtime.takeOnlySent().message();
-    poller.onAnswer("p", answer.with("pn", next.number("pn")));
+    poller.onAnswer("p", answer(header(next), null, update));
 
     assertEquals(4, next.number("as"));
     assertEquals(1, dataPlane.assignments.size());
@@ -187,7 +227,14 @@
 
   @Test
   void unreadableTableIsLoggedAndTheRestIsApplied() {
-    poller.onAnswer("p", answerTo(poll()).with("whole", new byte[] {1, 2, 3}).with("asno", 4L));
+    CompressedBytes damaged = CompressedBytes.of(new byte[] {1, 2, 3});
+
+    poller.onAnswer(
+        "p",
+        answer(
+            header(poll()),
+            WorkerTableUpdate.complete(damaged, false),
+            AssignmentUpdate.incremental(4, List.of())));
 
     assertTrue(
         runtime.events().stream()
