--- a/src/main/java/org/otterpond/cli/ConfigCommand.java
+++ b/src/main/java/org/otterpond/cli/ConfigCommand.java
@@ -17,10 +17,10 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/** Reads, checks and changes the configuration. */
+/** Reads, checks and changes the gateway configuration. */
 @Command(
     name = "config",
-    description = "Reads, checks and changes the configuration.",
+    description = "Reads, checks and changes the gateway configuration.",
     mixinStandardHelpOptions = true)
 final class ConfigCommand {
   private static final Gson PRETTY =
@@ -28,30 +28,34 @@
 
   @Command(
       name = "get",
-      description = "Prints the newest configuration, whole.",
+      description = "Prints the newest configuration as JSON.",
       mixinStandardHelpOptions = true)
-  int get(@Mixin NodeOption at) throws ControlApiException, ConfigException {
-    System.out.println(PRETTY.toJson(JsonFields.parse(at.open().get("/-/Configuration.Read"))));
+  int get(@Mixin NodeOption node) throws ControlApiException, ConfigException {
+    String text = node.client().get("/-/Configuration.Read");
+    System.out.println(PRETTY.toJson(JsonFields.parse(text)));
     return 0;
   }
 
   @Command(
       name = "replace",
-      description = "Puts a whole configuration in place of the current one.",
+      description = "Replaces the whole configuration.",
       mixinStandardHelpOptions = true)
   int replace(
-      @Mixin NodeOption at,
-      @Parameters(paramLabel = "FILE") Path file,
+      @Mixin NodeOption node,
+      @Parameters(paramLabel = "FILE", description = "The complete new configuration, as JSON.")
+          Path file,
       @Option(
               names = "--base",
               required = true,
               paramLabel = "REVISION",
-              description = "The revision it builds on; 0 for the first.")
+              description =
+                  "The revision that the file was made from; 0 for the first. Rejected if it is no"
+                      + " longer the current one.")
           long base)
       throws ControlApiException, ConfigException {
-    JsonObject whole = read(file);
-    ConfigurationParser.read(whole);
-    return send(at, "/-/Configuration.Replace", whole, base);
+    JsonObject configuration = read(file);
+    ConfigurationParser.read(configuration);
+    return send(node, "/-/Configuration.Replace", configuration, base);
   }
 
   @Command(
@@ -59,26 +63,35 @@
       description = "Changes named items of the configuration.",
       mixinStandardHelpOptions = true)
   int modify(
-      @Mixin NodeOption at,
-      @Parameters(paramLabel = "FILE") Path file,
+      @Mixin NodeOption node,
+      @Parameters(paramLabel = "FILE", description = "The items to change, as JSON.") Path file,
       @Option(
               names = "--base",
               required = true,
               paramLabel = "REVISION",
-              description = "The revision it builds on.")
+              description =
+                  "The revision that the file was made from. Rejected if it is no longer the"
+                      + " current one.")
           long base)
       throws ControlApiException, ConfigException {
-    return send(at, "/-/Configuration.Modify", read(file), base);
+    return send(node, "/-/Configuration.Modify", read(file), base);
   }
 
   @Command(
       name = "validate",
-      description = "Checks a whole configuration without sending it.",
+      description = "Checks a complete configuration without sending it.",
       mixinStandardHelpOptions = true)
-  int validate(@Parameters(paramLabel = "FILE") Path file) throws ConfigException {
-    GatewayConfiguration c = ConfigurationParser.read(read(file));
+  int validate(
+      @Parameters(paramLabel = "FILE", description = "The complete configuration, as JSON.")
+          Path file)
+      throws ConfigException {
+    GatewayConfiguration configuration = ConfigurationParser.read(read(file));
     System.out.println(
-        "valid: revision " + c.revision() + ", " + c.services().size() + " services");
+        "valid: revision "
+            + configuration.revision()
+            + ", "
+            + configuration.services().size()
+            + " services");
     return 0;
   }
 
@@ -86,13 +99,13 @@
     try {
       return JsonFields.parse(Files.readString(file, StandardCharsets.UTF_8));
     } catch (IOException e) {
-      throw new ConfigException(file + ": not readable");
+      throw new ConfigException(file + ": cannot be read: " + e.getMessage());
     }
   }
 
-  private static int send(NodeOption at, String path, JsonObject body, long base)
+  private static int send(NodeOption node, String path, JsonObject body, long base)
       throws ControlApiException {
-    at.open().post(path, body.toString(), base);
+    node.client().post(path, body.toString(), base);
     System.out.println("taken: revision " + body.get("revision"));
     return 0;
   }
--- a/src/main/java/org/otterpond/cli/MessageCommand.java
+++ b/src/main/java/org/otterpond/cli/MessageCommand.java
@@ -10,56 +10,65 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/** Asks for a message that was accepted; at a front point, with a key of its tenant. */
+/** Inspects an accepted message, at a node's front point and with an access key of its tenant. */
 @Command(
     name = "message",
-    description = "Asks for a message that was accepted. The node is named by its front point.",
+    description =
+        "Inspects an accepted message. --node names the front point of a node, not its control"
+            + " point.",
     mixinStandardHelpOptions = true)
 final class MessageCommand {
   @Command(
       name = "state",
-      description = "Prints queued, completed (with the run's stamp) or dead_letter.",
+      description = "Prints queued, dead_letter, or completed with the worker's timestamp.",
       mixinStandardHelpOptions = true)
-  int state(@Mixin NodeOption at, @Parameters(paramLabel = "ID") String id, @Mixin Whose whose)
+  int state(
+      @Mixin NodeOption node,
+      @Parameters(paramLabel = "ID", description = "The message's identifier.") String id,
+      @Mixin MessageOwner owner)
       throws ControlApiException, ConfigException {
-    JsonFields f =
-        JsonFields.of(JsonFields.parse(at.open().get("/-/message/" + id, whose.headers())), "");
-    System.out.println(f.text("state") + (f.has("timestamp") ? " " + f.text("timestamp") : ""));
+    String text = node.client().get("/-/message/" + id, owner.headers());
+    JsonFields message = JsonFields.of(JsonFields.parse(text), "");
+    String timestamp = message.has("timestamp") ? " " + message.text("timestamp") : "";
+    System.out.println(message.text("state") + timestamp);
     return 0;
   }
 
   @Command(
       name = "body",
-      description = "Prints the bytes of a message that is queued or dead.",
+      description = "Prints the body of a message that is queued or a dead letter.",
       mixinStandardHelpOptions = true)
-  int body(@Mixin NodeOption at, @Parameters(paramLabel = "ID") String id, @Mixin Whose whose)
+  int body(
+      @Mixin NodeOption node,
+      @Parameters(paramLabel = "ID", description = "The message's identifier.") String id,
+      @Mixin MessageOwner owner)
       throws ControlApiException {
-    System.out.print(at.open().get("/-/message-body/" + id, whose.headers()));
+    System.out.print(node.client().get("/-/message-body/" + id, owner.headers()));
     return 0;
   }
 
-  /** Whose message it is. */
-  static final class Whose {
+  /** Options that name the host and the tenant of a message. */
+  static final class MessageOwner {
     @Option(
         names = "--host",
         required = true,
         paramLabel = "HOST",
-        description = "The host it was sent to.")
+        description = "The host that the message was sent to.")
     private String host;
 
     @Option(
         names = "--key",
         paramLabel = "KEY",
-        description = "An access key of its tenant, where there are any.")
+        description = "An access key of the tenant; required if the configuration has tenants.")
     private String key;
 
     Map<String, String> headers() {
-      Map<String, String> out = new HashMap<>();
-      out.put("Host", host);
+      Map<String, String> headers = new HashMap<>();
+      headers.put("Host", host);
       if (key != null) {
-        out.put("Authorization", "Bearer " + key);
+        headers.put("Authorization", "Bearer " + key);
       }
-      return out;
+      return headers;
     }
   }
 }
--- a/src/main/java/org/otterpond/cli/NodeOption.java
+++ b/src/main/java/org/otterpond/cli/NodeOption.java
@@ -4,17 +4,19 @@
 import org.otterpond.client.ControlApiClient;
 import picocli.CommandLine.Option;
 
-/** Where to call; shared by all commands that call. */
+/** The option of all commands that call nodes: which ones. */
 final class NodeOption {
   @Option(
       names = {"-n", "--node"},
       required = true,
       split = ",",
       paramLabel = "HOST:PORT",
-      description = "Control points to call, tried in this order until one gives a clear answer.")
+      description =
+          "Control points of one or more nodes; they are tried in this order until one gives a"
+              + " definite answer.")
   private List<String> nodes;
 
-  ControlApiClient open() {
+  ControlApiClient client() {
     return new ControlApiClient(nodes);
   }
 }
--- a/src/main/java/org/otterpond/cli/OtterpondCommand.java
+++ b/src/main/java/org/otterpond/cli/OtterpondCommand.java
@@ -8,15 +8,20 @@
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
 
-/** The operators' command line. */
+/** The command line of the program. */
 @Command(
     name = "otterpond",
     mixinStandardHelpOptions = true,
     version = "otterpond 0.1.0",
     description =
-        "An API gateway of many nodes. 'node' runs one (its settings file is named by OTTERPOND_CONFIG),"
-            + " 'self-test' tries one alone on this machine; the commands below talk to running nodes.",
-    footer = {"", "Exit codes: 0 done; 1 refused, or invalid; 2 wrong usage; 3 no clear answer."},
+        "An API gateway. 'otterpond node' runs a node with the settings file that OTTERPOND_CONFIG"
+            + " names; 'otterpond self-test' runs a node on this machine and sends requests"
+            + " through it. The commands below call running nodes or are tools.",
+    footer = {
+      "",
+      "Exit codes: 0 success; 1 rejected or invalid; 2 wrong usage; 3 no definite answer, so a"
+          + " change may or may not have been made: repeat the command."
+    },
     subcommands = {
       ConfigCommand.class,
       StatusCommand.class,
@@ -31,22 +36,27 @@
 
   @Override
   public void run() {
-    throw new CommandLine.ParameterException(spec.commandLine(), "a command is wanted");
+    throw new CommandLine.ParameterException(spec.commandLine(), "a command is required");
   }
 
+  /**
+   * Runs one command.
+   *
+   * @return the exit code
+   */
   public static int execute(String... args) {
     return new CommandLine(new OtterpondCommand())
         .setExecutionExceptionHandler(
-            (e, line, parsed) -> {
-              if (e instanceof ControlApiException c) {
-                System.err.println("otterpond: " + c.getMessage());
-                return c.code();
+            (failure, commandLine, parsed) -> {
+              if (failure instanceof ControlApiException e) {
+                System.err.println("otterpond: " + e.getMessage());
+                return e.exitCode();
               }
-              if (e instanceof ConfigException) {
-                System.err.println("otterpond: invalid: " + e.getMessage());
-                return ControlApiException.REFUSED;
+              if (failure instanceof ConfigException) {
+                System.err.println("otterpond: invalid: " + failure.getMessage());
+                return ControlApiException.REJECTED;
               }
-              throw e;
+              throw failure;
             })
         .execute(args);
   }
--- a/src/main/java/org/otterpond/cli/RetireCommand.java
+++ b/src/main/java/org/otterpond/cli/RetireCommand.java
@@ -9,42 +9,45 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/** Empties a storage machine, so that it can be taken away. */
+/** Moves all message partitions off a storage machine. */
 @Command(
     name = "retire",
-    description = "Empties a storage machine, so that it can be taken away with its disk.",
+    description =
+        "Moves all message partitions off a storage machine, so that it can be removed with its"
+            + " disk.",
     mixinStandardHelpOptions = true)
 final class RetireCommand {
   @Command(
       name = "begin",
-      description = "Has all partitions moved off the machine.",
+      description = "Starts moving the partitions.",
       mixinStandardHelpOptions = true)
   int begin(
-      @Mixin NodeOption at,
-      @Parameters(paramLabel = "MACHINE") String machine,
+      @Mixin NodeOption node,
+      @Parameters(paramLabel = "MACHINE", description = "The machine's node name.") String machine,
       @Option(
               names = "--deadline",
               paramLabel = "SECONDS",
               defaultValue = "60",
-              description = "Within how long it is wanted; 60 if left out.")
+              description = "Target time to finish, in seconds; default ${DEFAULT-VALUE}.")
           double deadline)
       throws ControlApiException {
-    JsonObject o = new JsonObject();
-    o.addProperty("deadline_s", deadline);
-    at.open().post("/-/Retire.Begin/" + machine, o.toString());
+    JsonObject request = new JsonObject();
+    request.addProperty("deadline_s", deadline);
+    node.client().post("/-/Retire.Begin/" + machine, request.toString());
     System.out.println("begun: " + machine);
     return 0;
   }
 
   @Command(
       name = "status",
-      description = "Says whether the machine is empty: in_progress or completed.",
+      description = "Prints in_progress, or completed once the machine can be removed.",
       mixinStandardHelpOptions = true)
-  int status(@Mixin NodeOption at, @Parameters(paramLabel = "MACHINE") String machine)
+  int status(
+      @Mixin NodeOption node,
+      @Parameters(paramLabel = "MACHINE", description = "The machine's node name.") String machine)
       throws ControlApiException, ConfigException {
-    System.out.println(
-        JsonFields.of(JsonFields.parse(at.open().get("/-/Retire.Read/" + machine)), "")
-            .text("state"));
+    String text = node.client().get("/-/Retire.Read/" + machine);
+    System.out.println(JsonFields.of(JsonFields.parse(text), "").text("state"));
     return 0;
   }
 }
--- a/src/main/java/org/otterpond/cli/StatusCommand.java
+++ b/src/main/java/org/otterpond/cli/StatusCommand.java
@@ -8,25 +8,25 @@
 import picocli.CommandLine.Mixin;
 import picocli.CommandLine.Option;
 
-/** Prints who leads, how the fleet stands zone by zone, and what lags. */
+/** Prints the state of the core and of the fleet. */
 @Command(
     name = "status",
     description =
-        "Prints who leads, the nodes and workers of each zone, and what lags behind or "
-            + "is leaving.",
+        "Prints the primary and the core, totals of nodes and workers by zone, and the nodes that"
+            + " lag and workers that are leaving.",
     mixinStandardHelpOptions = true)
 final class StatusCommand implements Callable<Integer> {
-  @Mixin private NodeOption at;
+  @Mixin private NodeOption node;
 
-  @Option(names = "--all", description = "Lists every node and every worker.")
+  @Option(names = "--all", description = "List every node and every worker.")
   private boolean all;
 
-  @Option(names = "--json", description = "Prints the answer as it came.")
+  @Option(names = "--json", description = "Print the answer of the node as JSON.")
   private boolean json;
 
   @Override
   public Integer call() throws ControlApiException, ConfigException {
-    String text = at.open().get("/-/status");
+    String text = node.client().get("/-/status");
     if (json) {
       System.out.println(text);
     } else {
--- a/src/main/java/org/otterpond/cli/StatusReport.java
+++ b/src/main/java/org/otterpond/cli/StatusReport.java
@@ -10,37 +10,68 @@
 import java.util.TreeMap;
 import java.util.function.Predicate;
 
-/** What `status` prints: totals by zone, then what is not as it should be, or everything. */
+/**
+ * The text that {@code status} prints: the core, totals by zone, then the nodes that lag and the
+ * workers that are leaving, or all of them.
+ */
 final class StatusReport {
-  /**
-   * A node polls again at once and is answered within 0.7 s: one silent for longer may be out of
-   * touch.
-   */
-  private static final long SILENT_MS = 1_500;
+  /** The primary answers polls within 0.7 s: a node silent for longer may be out of touch. */
+  private static final long MAX_SILENCE_MILLIS = 1_500;
 
-  private static final String WORKER = "%-20s %-20s %-24s %-18s %-12s %s";
-  private static final String NODE = "%-28s %-24s %-18s %-10s %s";
+  private static final String WORKER_ROW = "%-20s %-20s %-24s %-18s %-12s %s";
+  private static final String NODE_ROW = "%-28s %-24s %-18s %-10s %s";
+
+  private static final String ZONE_HEADER = "%-24s %8s %8s %8s %8s %9s";
+  private static final String ZONE_ROW = "%-24s %8d %8d %8d %8d %9d";
 
   private final JsonObject status;
   private final List<String> lines = new ArrayList<>();
 
+  private static final class ZoneTotals {
+    int nodes;
+    int lagging;
+    int workersInService;
+    int slots;
+    int draining;
+
+    void addNode(boolean lags) {
+      nodes++;
+      lagging += lags ? 1 : 0;
+    }
+
+    void addWorker(JsonObject worker) {
+      if (inService(worker)) {
+        workersInService++;
+        slots += (int) number(worker, "slots");
+      } else if (text(worker, "state").equals("DRAINING")) {
+        draining++;
+      }
+    }
+  }
+
   private StatusReport(JsonObject status) {
     this.status = status;
   }
 
+  /**
+   * Formats an answer of the control API.
+   *
+   * @param all whether to list every node and worker
+   * @return the lines to print
+   */
   static List<String> of(JsonObject status, boolean all) {
-    StatusReport p = new StatusReport(status);
-    p.core();
-    p.zones();
-    p.nodes(all);
-    p.quotas();
-    p.stores();
-    p.keys();
-    p.workers(all);
-    return p.lines;
-  }
-
-  private void core() {
+    StatusReport report = new StatusReport(status);
+    report.addCore();
+    report.addZones();
+    report.addNodes(all);
+    report.addQuotas();
+    report.addMessageStores();
+    report.addKeyRanges();
+    report.addWorkers(all);
+    return report.lines;
+  }
+
+  private void addCore() {
     line(
         "epoch %s%s, revision %s, %s operation keys",
         text(status, "epoch"),
@@ -55,63 +86,63 @@
     }
   }
 
-  private void zones() {
-    Map<String, int[]> zones = new TreeMap<>();
-    for (JsonObject n : rows("nodes")) {
-      int[] z = zones.computeIfAbsent(text(n, "zone"), x -> new int[5]);
-      z[0]++;
-      z[1] += lags(n) ? 1 : 0;
+  private void addZones() {
+    Map<String, ZoneTotals> zones = new TreeMap<>();
+    for (JsonObject node : rows("nodes")) {
+      zones.computeIfAbsent(text(node, "zone"), zone -> new ZoneTotals()).addNode(lags(node));
     }
-    for (JsonObject w : rows("workers")) {
-      int[] z = zones.computeIfAbsent(text(w, "zone"), x -> new int[5]);
-      if (inService(w)) {
-        z[2]++;
-        z[3] += (int) number(w, "slots");
-      } else if (text(w, "state").equals("DRAINING")) {
-        z[4]++;
-      }
+    for (JsonObject worker : rows("workers")) {
+      zones.computeIfAbsent(text(worker, "zone"), zone -> new ZoneTotals()).addWorker(worker);
     }
-    line("%-24s %8s %8s %8s %8s %9s", "ZONE", "NODES", "LAGGING", "WORKERS", "SLOTS", "DRAINING");
+    line(ZONE_HEADER, "ZONE", "NODES", "LAGGING", "WORKERS", "SLOTS", "DRAINING");
     zones.forEach(
-        (name, z) -> line("%-24s %8d %8d %8d %8d %9d", name, z[0], z[1], z[2], z[3], z[4]));
+        (zone, totals) ->
+            line(
+                ZONE_ROW,
+                zone,
+                totals.nodes,
+                totals.lagging,
+                totals.workersInService,
+                totals.slots,
+                totals.draining));
   }
 
-  private void nodes(boolean all) {
-    List<JsonObject> shown = matching("nodes", n -> all || lags(n));
+  private void addNodes(boolean all) {
+    List<JsonObject> shown = matching("nodes", node -> all || lags(node));
     if (!shown.isEmpty()) {
-      line(NODE, all ? "NODE" : "LAGGING NODE", "ADDRESS", "ZONE", "REVISION", "SILENT MS");
+      line(NODE_ROW, all ? "NODE" : "LAGGING NODE", "ADDRESS", "ZONE", "REVISION", "SILENT MS");
     }
     shown.forEach(
-        n ->
+        node ->
             line(
-                NODE,
-                text(n, "name"),
-                text(n, "addr"),
-                text(n, "zone"),
-                text(n, "cfg"),
-                text(n, "silent_ms")));
+                NODE_ROW,
+                text(node, "name"),
+                text(node, "addr"),
+                text(node, "zone"),
+                text(node, "cfg"),
+                text(node, "silent_ms")));
   }
 
-  private void quotas() {
+  private void addQuotas() {
     String row = "%-28s %10s %10s %10s %8s %12s %12s";
     List<JsonObject> quotas = rows("quotas");
     if (!quotas.isEmpty()) {
       line(row, "TENANT", "RATE", "BURST", "TOKENS", "LENT", "GRANTED", "DENIED");
     }
     quotas.forEach(
-        q ->
+        quota ->
             line(
                 row,
-                text(q, "name"),
-                text(q, "rate"),
-                text(q, "burst"),
-                text(q, "tokens"),
-                text(q, "out"),
-                text(q, "granted"),
-                text(q, "denied")));
+                text(quota, "name"),
+                text(quota, "rate"),
+                text(quota, "burst"),
+                text(quota, "tokens"),
+                text(quota, "out"),
+                text(quota, "granted"),
+                text(quota, "denied")));
   }
 
-  private void stores() {
+  private void addMessageStores() {
     String row = "%-28s %-20s %6s %6s %8s %8s %10s %10s";
     List<JsonObject> stores = rows("stores");
     if (stores.isEmpty()) {
@@ -122,43 +153,43 @@
         text(status, "partitions"), text(status, "partitions_lacking"));
     line(row, "STORAGE", "ZONE", "LED", "HELD", "QUEUED", "DEAD", "OLDEST MS", "IN FLIGHT");
     stores.forEach(
-        s ->
+        store ->
             line(
                 row,
-                text(s, "name"),
-                text(s, "zone"),
-                text(s, "led"),
-                text(s, "held"),
-                text(s, "queued"),
-                text(s, "dead"),
-                text(s, "oldest_ms"),
-                text(s, "in_flight")));
+                text(store, "name"),
+                text(store, "zone"),
+                text(store, "led"),
+                text(store, "held"),
+                text(store, "queued"),
+                text(store, "dead"),
+                text(store, "oldest_ms"),
+                text(store, "in_flight")));
   }
 
-  private void keys() {
+  private void addKeyRanges() {
     String row = "%-28s %8s %8s %8s %10s %10s %10s";
     List<JsonObject> keys = rows("keys");
     if (!keys.isEmpty()) {
       line(row, "DIVIDED SERVICE", "RANGES", "OWNERS", "HELD", "GRANTING", "RELEASING", "EXPIRING");
     }
     keys.forEach(
-        k ->
+        service ->
             line(
                 row,
-                text(k, "service"),
-                text(k, "ranges"),
-                text(k, "owners"),
-                text(k, "held"),
-                text(k, "granting"),
-                text(k, "releasing"),
-                text(k, "expiring")));
+                text(service, "service"),
+                text(service, "ranges"),
+                text(service, "owners"),
+                text(service, "held"),
+                text(service, "granting"),
+                text(service, "releasing"),
+                text(service, "expiring")));
   }
 
-  private void workers(boolean all) {
-    List<JsonObject> shown = matching("workers", w -> all || !inService(w));
+  private void addWorkers(boolean all) {
+    List<JsonObject> shown = matching("workers", worker -> all || !inService(worker));
     if (!shown.isEmpty()) {
       line(
-          WORKER,
+          WORKER_ROW,
           all ? "WORKER" : "WORKER LEAVING",
           "SERVICE",
           "ADDRESS",
@@ -167,48 +198,48 @@
           "SLOTS");
     }
     shown.forEach(
-        w ->
+        worker ->
             line(
-                WORKER,
-                text(w, "id"),
-                text(w, "service"),
-                text(w, "addr"),
-                text(w, "zone"),
-                text(w, "state").toLowerCase(Locale.ROOT),
-                text(w, "slots")));
+                WORKER_ROW,
+                text(worker, "id"),
+                text(worker, "service"),
+                text(worker, "addr"),
+                text(worker, "zone"),
+                text(worker, "state").toLowerCase(Locale.ROOT),
+                text(worker, "slots")));
   }
 
   private boolean lags(JsonObject node) {
     return number(node, "cfg") < number(status, "revision")
-        || number(node, "silent_ms") > SILENT_MS;
+        || number(node, "silent_ms") > MAX_SILENCE_MILLIS;
   }
 
   private static boolean inService(JsonObject worker) {
     return text(worker, "state").equals("IN_SERVICE");
   }
 
-  private List<JsonObject> matching(String list, Predicate<JsonObject> which) {
-    return rows(list).stream().filter(which).toList();
+  private List<JsonObject> matching(String list, Predicate<JsonObject> predicate) {
+    return rows(list).stream().filter(predicate).toList();
   }
 
   private List<JsonObject> rows(String list) {
-    List<JsonObject> out = new ArrayList<>();
-    for (JsonElement e : array(list)) {
-      out.add(e.getAsJsonObject());
+    List<JsonObject> rows = new ArrayList<>();
+    for (JsonElement row : array(list)) {
+      rows.add(row.getAsJsonObject());
     }
-    return out;
+    return rows;
   }
 
   private JsonArray array(String name) {
     return status.has(name) ? status.getAsJsonArray(name) : new JsonArray();
   }
 
-  private static long number(JsonObject o, String name) {
-    return o.has(name) ? o.get(name).getAsLong() : 0;
+  private static long number(JsonObject row, String name) {
+    return row.has(name) ? row.get(name).getAsLong() : 0;
   }
 
-  private static String text(JsonObject o, String name) {
-    return o.has(name) && !o.get(name).isJsonNull() ? o.get(name).getAsString() : "-";
+  private static String text(JsonObject row, String name) {
+    return row.has(name) && !row.get(name).isJsonNull() ? row.get(name).getAsString() : "-";
   }
 
   private void line(String format, Object... values) {
--- a/src/main/java/org/otterpond/client/ControlApiClient.java
+++ b/src/main/java/org/otterpond/client/ControlApiClient.java
@@ -4,121 +4,130 @@
 import java.io.IOException;
 import java.net.URI;
 import java.net.URISyntaxException;
-import java.nio.charset.StandardCharsets;
-import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
-import org.apache.hc.core5.http.ClassicHttpRequest;
-import org.apache.hc.core5.http.ClassicHttpResponse;
-import org.apache.hc.core5.http.ContentType;
-import org.apache.hc.core5.http.Header;
 import org.apache.hc.core5.http.HttpException;
-import org.apache.hc.core5.http.HttpHost;
-import org.apache.hc.core5.http.impl.bootstrap.HttpRequester;
-import org.apache.hc.core5.http.impl.bootstrap.RequesterBootstrap;
-import org.apache.hc.core5.http.io.SocketConfig;
-import org.apache.hc.core5.http.io.entity.EntityUtils;
-import org.apache.hc.core5.http.io.entity.StringEntity;
-import org.apache.hc.core5.http.io.support.ClassicRequestBuilder;
-import org.apache.hc.core5.http.protocol.HttpCoreContext;
-import org.apache.hc.core5.util.Timeout;
+import org.apache.hc.core5.http.HttpStatus;
 import org.otterpond.config.ConfigException;
 import org.otterpond.config.JsonFields;
 
-/** Calls of the control points, one after another until one gives a clear answer. */
+/**
+ * Calls the control API of one of several nodes. The nodes are tried in their order, several times,
+ * until one gives a definite answer: success or rejection. Calls block the calling thread.
+ */
 public final class ControlApiClient {
-  private static final Timeout PATIENCE = Timeout.ofSeconds(4);
-  private static final int ROUNDS = 3;
-  private static final int HOPS = 2;
+  private static final int ATTEMPTS_PER_NODE = 3;
+  private static final int MAX_REDIRECTS = 2;
+  private static final String BASE_REVISION_HEADER = "X-Otterpond-Base-Revision";
 
   private final List<String> nodes;
 
+  /**
+   * Creates a client; nothing is sent yet.
+   *
+   * @param nodes addresses of nodes as {@code host:port}, at least one
+   */
   public ControlApiClient(List<String> nodes) {
-    this.nodes = nodes;
+    this.nodes = List.copyOf(nodes);
   }
 
+  /**
+   * Sends a GET request and returns the body of the answer.
+   *
+   * @throws ControlApiException if the request was rejected, or no node gave a definite answer
+   */
   public String get(String path) throws ControlApiException {
-    return call("GET", path, null, Map.of());
+    return get(path, Map.of());
   }
 
-  public String post(String path, String body, long base) throws ControlApiException {
-    return call("POST", path, body, Map.of("X-Otterpond-Base-Revision", Long.toString(base)));
+  /**
+   * Sends a GET request with additional headers and returns the body of the answer.
+   *
+   * @throws ControlApiException if the request was rejected, or no node gave a definite answer
+   */
+  public String get(String path, Map<String, String> headers) throws ControlApiException {
+    return call(new HttpCall("GET", path, null, headers));
   }
 
+  /**
+   * Sends a POST request and returns the body of the answer.
+   *
+   * @throws ControlApiException if the request was rejected, or no node gave a definite answer
+   */
   public String post(String path, String body) throws ControlApiException {
-    return call("POST", path, body, Map.of());
+    return call(new HttpCall("POST", path, body, Map.of()));
   }
 
-  public String get(String path, Map<String, String> headers) throws ControlApiException {
-    return call("GET", path, null, headers);
+  /**
+   * Sends a configuration change as a POST request and returns the body of the answer.
+   *
+   * @param baseRevision the revision that the change was made for
+   * @throws ControlApiException if the request was rejected, or no node gave a definite answer
+   */
+  public String post(String path, String body, long baseRevision) throws ControlApiException {
+    Map<String, String> headers = Map.of(BASE_REVISION_HEADER, Long.toString(baseRevision));
+    return call(new HttpCall("POST", path, body, headers));
   }
 
-  private String call(String method, String path, String body, Map<String, String> headers)
-      throws ControlApiException {
-    List<String> failures = new ArrayList<>();
-    for (int round = 0; round < ROUNDS; round++) {
+  private String call(HttpCall call) throws ControlApiException {
+    String lastFailure = "no node is named";
+    for (int attempt = 0; attempt < ATTEMPTS_PER_NODE; attempt++) {
       for (String node : nodes) {
         try {
-          Said said = ask("http://" + node, method, path, body, headers);
-          for (int hop = 0; hop < HOPS && said.status() == 307 && said.location() != null; hop++) {
-            URI there = new URI(said.location());
-            said =
-                ask(
-                    there.getScheme() + "://" + there.getAuthority(),
-                    method,
-                    there.getPath(),
-                    body,
-                    headers);
-          }
-          if (said.status() / 100 == 2) {
-            return said.text();
+          HttpCall.Response response = callNode(node, call);
+          if (isSuccess(response)) {
+            return response.body();
           }
-          if (said.status() / 100 == 4 && said.status() != 408 && said.status() != 429) {
-            throw new ControlApiException(
-                ControlApiException.REFUSED, said.status() + ": " + cause(said.text()));
+          String failure = response.status() + ": " + cause(response.body());
+          if (isRejection(response)) {
+            throw new ControlApiException(ControlApiException.REJECTED, failure);
           }
-          failures.add(node + ": " + said.status() + " " + cause(said.text()));
+          lastFailure = node + ": " + failure;
         } catch (IOException | HttpException e) {
-          failures.add(node + ": " + e.getMessage());
+          lastFailure = node + ": " + e.getMessage();
         } catch (URISyntaxException e) {
-          throw new ControlApiException(2, "--node: host:port is wanted, not " + node);
+          throw new ControlApiException(
+              ControlApiException.USAGE, "--node: expected HOST:PORT, found " + node);
         }
       }
     }
     throw new ControlApiException(
-        ControlApiException.UNREACHED,
-        "no clear answer; the last: " + failures.get(failures.size() - 1));
+        ControlApiException.NO_ANSWER, "no definite answer; last failure: " + lastFailure);
   }
 
-  private record Said(int status, String location, String text) {}
-
-  private static Said ask(
-      String host, String method, String path, String body, Map<String, String> headers)
+  private static HttpCall.Response callNode(String node, HttpCall call)
       throws IOException, HttpException, URISyntaxException {
-    ClassicHttpRequest r = ClassicRequestBuilder.create(method).setPath(path).build();
-    if (body != null) {
-      r.setEntity(new StringEntity(body, ContentType.APPLICATION_JSON));
-    }
-    headers.forEach(r::setHeader);
-    try (HttpRequester requester =
-            RequesterBootstrap.bootstrap()
-                .setSocketConfig(SocketConfig.custom().setSoTimeout(PATIENCE).build())
-                .create();
-        ClassicHttpResponse a =
-            requester.execute(HttpHost.create(host), r, PATIENCE, HttpCoreContext.create())) {
-      String text =
-          a.getEntity() == null ? "" : EntityUtils.toString(a.getEntity(), StandardCharsets.UTF_8);
-      Header location = a.getFirstHeader("Location");
-      return new Said(a.getCode(), location == null ? null : location.getValue(), text);
+    HttpCall.Response response = call.execute("http://" + node);
+    for (int redirects = 0; redirects < MAX_REDIRECTS && isRedirect(response); redirects++) {
+      URI location = new URI(response.location());
+      String host = location.getScheme() + "://" + location.getAuthority();
+      response = call.withPath(location.getPath()).execute(host);
     }
+    return response;
+  }
+
+  private static boolean isRedirect(HttpCall.Response response) {
+    return response.status() == HttpStatus.SC_TEMPORARY_REDIRECT && response.location() != null;
+  }
+
+  private static boolean isSuccess(HttpCall.Response response) {
+    return response.status() / 100 == 2;
+  }
+
+  /** Whether another node, or the same one later, would give the same answer. */
+  private static boolean isRejection(HttpCall.Response response) {
+    return response.status() / 100 == 4
+        && response.status() != HttpStatus.SC_REQUEST_TIMEOUT
+        && response.status() != HttpStatus.SC_TOO_MANY_REQUESTS;
   }
 
-  private static String cause(String text) {
+  /** The cause that the body of an error answer names, or the whole body. */
+  private static String cause(String body) {
     try {
-      JsonObject o = JsonFields.parse(text);
-      return o.has("cause") ? o.get("cause").getAsString() : text;
+      JsonObject error = JsonFields.parse(body);
+      return error.has("cause") ? error.get("cause").getAsString() : body;
     } catch (ConfigException e) {
-      return text;
+      return body;
     }
   }
 }
--- a/src/main/java/org/otterpond/client/ControlApiException.java
+++ b/src/main/java/org/otterpond/client/ControlApiException.java
@@ -1,22 +1,27 @@
 package org.otterpond.client;
 
-/**
- * A call of the operator's that did not come to what was wanted; the code is the program's exit
- * code.
- */
+/** A call of the control API that did not succeed, with the exit code for the command line. */
 public final class ControlApiException extends Exception {
+  /** Exit code: the request was rejected, or its input is invalid. */
+  public static final int REJECTED = 1;
+
+  /** Exit code: the command was used wrongly. */
+  public static final int USAGE = 2;
+
+  /** Exit code: no node gave a definite answer, so a change may or may not have been made. */
+  public static final int NO_ANSWER = 3;
+
   private static final long serialVersionUID = 1L;
-  public static final int REFUSED = 1;
-  static final int UNREACHED = 3;
 
-  private final int code;
+  private final int exitCode;
 
-  ControlApiException(int code, String message) {
+  ControlApiException(int exitCode, String message) {
     super(message);
-    this.code = code;
+    this.exitCode = exitCode;
   }
 
-  public int code() {
-    return code;
+  /** The exit code for the command line. */
+  public int exitCode() {
+    return exitCode;
   }
 }
--- a/src/main/java/org/otterpond/client/HeartbeatSender.java
+++ b/src/main/java/org/otterpond/client/HeartbeatSender.java
@@ -3,28 +3,43 @@
 import com.google.gson.JsonObject;
 import java.util.List;
 
-/** Sends a worker's beats. */
+/** Sends the heartbeats of a sample worker. */
 public final class HeartbeatSender {
-  private final ControlApiClient calls;
+  private static final int CAPACITY_SLOTS = 4;
 
+  private final ControlApiClient client;
+
+  /**
+   * Creates a sender.
+   *
+   * @param nodes addresses of nodes as {@code host:port}, tried in this order
+   */
   public HeartbeatSender(List<String> nodes) {
-    calls = new ControlApiClient(nodes);
+    client = new ControlApiClient(nodes);
   }
 
-  public void beat(String id, String service, String address, String zone, long sequence) {
-    JsonObject o = new JsonObject();
-    o.addProperty("target_service", service);
-    o.addProperty("address", address);
-    o.addProperty("zone", zone);
-    o.addProperty("revision", "sample");
-    o.addProperty("capacity_slots", 4);
-    o.addProperty("state", "in_service");
-    o.addProperty("warmup_left_ms", 0);
-    o.addProperty("call_sequence", sequence);
+  /**
+   * Sends one heartbeat; a failure is logged.
+   *
+   * @param instance the worker's instance
+   * @param address where the worker takes requests, as {@code host:port}
+   * @param sequence grows with each heartbeat of the instance
+   */
+  public void sendHeartbeat(
+      String instance, String service, String address, String zone, long sequence) {
+    JsonObject heartbeat = new JsonObject();
+    heartbeat.addProperty("target_service", service);
+    heartbeat.addProperty("address", address);
+    heartbeat.addProperty("zone", zone);
+    heartbeat.addProperty("revision", "sample");
+    heartbeat.addProperty("capacity_slots", CAPACITY_SLOTS);
+    heartbeat.addProperty("state", "in_service");
+    heartbeat.addProperty("warmup_left_ms", 0);
+    heartbeat.addProperty("call_sequence", sequence);
     try {
-      calls.post("/-/Instances.Heartbeat/" + id, o.toString(), 0);
+      client.post("/-/Instances.Heartbeat/" + instance, heartbeat.toString());
     } catch (ControlApiException e) {
-      System.err.println("event=beat_failed cause=\"" + e.getMessage() + "\"");
+      System.err.println("event=heartbeat_failed cause=\"" + e.getMessage() + "\"");
     }
   }
 }
--- a/src/main/java/org/otterpond/control/agent/ActiveConfiguration.java
+++ b/src/main/java/org/otterpond/control/agent/ActiveConfiguration.java
@@ -4,11 +4,10 @@
 import java.util.Deque;
 import java.util.function.Consumer;
 import org.otterpond.config.GatewayConfiguration;
-import org.otterpond.control.message.PollResponse;
-import org.otterpond.control.state.ConfigurationUpdate;
+import org.otterpond.control.message.ConfigurationUpdate;
+import org.otterpond.control.state.ConfigurationParsing;
 import org.otterpond.control.state.ConfigurationUpdateParser;
 import org.otterpond.control.state.ParsedConfiguration;
-import org.otterpond.protocol.WireRecord;
 import org.otterpond.runtime.NodeRuntime;
 
 /**
@@ -84,16 +83,12 @@
   }
 
   private void parse(ConfigurationUpdate update) {
-    WireRecord encoded = new WireRecord(PollResponse.KIND);
-    update.addTo(encoded);
-    ConfigurationUpdateParser parser = new ConfigurationUpdateParser(encoded, current);
-    if (!parser.isLong()) {
-      parser.run();
-      onParsed(update, parser);
-      return;
-    }
+    ConfigurationUpdateParser parser =
+        new ConfigurationUpdateParser(update.toWireRecord(), current);
     parsing = true;
-    runtime.apart(
+    ConfigurationParsing.run(
+        runtime,
+        parser.isLong(),
         parser,
         () -> {
           parsing = false;
--- a/src/main/java/org/otterpond/tools/SampleWorker.java
+++ b/src/main/java/org/otterpond/tools/SampleWorker.java
@@ -1,8 +1,12 @@
 package org.otterpond.tools;
 
 import java.io.IOException;
+import java.util.List;
+import java.util.concurrent.Callable;
 import java.util.concurrent.Executors;
 import java.util.concurrent.ScheduledExecutorService;
+import java.util.concurrent.ScheduledFuture;
+import java.util.concurrent.ThreadFactory;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicLong;
 import org.otterpond.client.HeartbeatSender;
@@ -12,52 +16,72 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/** A stand-in worker that registers itself, for trying a system by hand. */
+/** A command that runs a worker for trying out a system by hand. */
 @Command(
     name = "sample-worker",
-    description = "Runs a stand-in worker that registers with the system given.",
+    description =
+        "Runs a sample worker that sends heartbeats and answers every request with 200, until it"
+            + " is stopped.",
     mixinStandardHelpOptions = true)
-public final class SampleWorker implements java.util.concurrent.Callable<Integer> {
-  private static final long BEAT_MILLIS = 1_500;
+public final class SampleWorker implements Callable<Integer> {
+  private static final long HEARTBEAT_INTERVAL_MILLIS = 1_500;
 
   @Option(
       names = {"-n", "--node"},
       required = true,
       split = ",",
       paramLabel = "HOST:PORT",
-      description = "Control points to beat to.")
-  private java.util.List<String> nodes;
+      description = "Control points of the nodes to send heartbeats to, tried in this order.")
+  private List<String> nodes;
 
-  @Option(names = "--service", required = true, description = "The service it works for.")
+  @Option(
+      names = "--service",
+      required = true,
+      paramLabel = "NAME",
+      description = "The service that the worker belongs to.")
   private String service;
 
-  @Option(names = "--zone", defaultValue = "-", description = "Its zone.")
+  @Option(
+      names = "--zone",
+      defaultValue = "-",
+      paramLabel = "NAME",
+      description = "The worker's zone; default ${DEFAULT-VALUE}.")
   private String zone;
 
-  @Parameters(paramLabel = "HOST:PORT", description = "Where it listens.")
+  @Parameters(paramLabel = "HOST:PORT", description = "The address to listen on.")
   private String address;
 
   @Override
   public Integer call() throws IOException {
-    String id = "i-sample-" + Long.toHexString(System.nanoTime());
+    String instance = "i-sample-" + Long.toHexString(System.nanoTime());
     EventLoop eventLoop = new EventLoop();
-    new SampleWorkerServer(eventLoop, id, PeerTransport.address(address));
+    new SampleWorkerServer(eventLoop, instance, PeerTransport.address(address));
+    ScheduledExecutorService heartbeats =
+        Executors.newSingleThreadScheduledExecutor(daemonThreads("heartbeats"));
+    HeartbeatSender sender = new HeartbeatSender(nodes);
     AtomicLong sequence = new AtomicLong();
-    ScheduledExecutorService beats =
-        Executors.newSingleThreadScheduledExecutor(
-            r -> {
-              Thread t = new Thread(r, "beats");
-              t.setDaemon(true);
-              return t;
-            });
-    HeartbeatSender to = new HeartbeatSender(nodes);
-    beats.scheduleWithFixedDelay(
-        () -> to.beat(id, service, address, zone, sequence.incrementAndGet()),
-        0,
-        BEAT_MILLIS,
-        TimeUnit.MILLISECONDS);
-    System.out.println("event=worker_started instance=" + id + " address=" + address);
-    eventLoop.run();
-    return 0;
+    ScheduledFuture<?> schedule =
+        heartbeats.scheduleWithFixedDelay(
+            () ->
+                sender.sendHeartbeat(instance, service, address, zone, sequence.incrementAndGet()),
+            0,
+            HEARTBEAT_INTERVAL_MILLIS,
+            TimeUnit.MILLISECONDS);
+    try {
+      System.out.println("event=worker_started instance=" + instance + " address=" + address);
+      eventLoop.run();
+      return 0;
+    } finally {
+      schedule.cancel(false);
+      heartbeats.shutdownNow();
+    }
+  }
+
+  private static ThreadFactory daemonThreads(String name) {
+    return task -> {
+      Thread thread = new Thread(task, name);
+      thread.setDaemon(true);
+      return thread;
+    };
   }
 }
--- a/src/main/java/org/otterpond/tools/SampleWorkerServer.java
+++ b/src/main/java/org/otterpond/tools/SampleWorkerServer.java
@@ -9,36 +9,54 @@
 import org.otterpond.net.RequestHandler;
 import org.otterpond.net.ServerExchange;
 
-/** A worker for trying a system out: answers every request at once, with a stamp that names it. */
+/**
+ * A worker that answers every request at once, with a seal that names its instance. Used by the
+ * owner thread of its event loop only.
+ */
 public final class SampleWorkerServer implements RequestHandler {
-  private final String id;
+  private static final int MAX_CONNECTIONS = 200;
+  private static final long MAX_BODY_BYTES = 16L << 20;
+  private static final int OK = 200;
+  private static final int MISDIRECTED_REQUEST = 421;
+  private static final String ATTEMPT_ID = "X-Otterpond-Attempt-Id";
+
+  private final String instance;
   private long served;
 
-  public SampleWorkerServer(EventLoop eventLoop, String id, InetSocketAddress at)
+  /**
+   * Starts listening.
+   *
+   * @param instance the worker's instance
+   * @param address the address to listen on
+   * @throws IOException if the address cannot be bound
+   */
+  public SampleWorkerServer(EventLoop eventLoop, String instance, InetSocketAddress address)
       throws IOException {
-    this.id = id;
-    new HttpListener(eventLoop, this, at, 200, 16L << 20);
+    this.instance = instance;
+    new HttpListener(eventLoop, this, address, MAX_CONNECTIONS, MAX_BODY_BYTES);
   }
 
-  /** Calls answered so far, grants among them. */
+  /** The number of requests answered so far, key-range grants among them. */
   long served() {
     return served;
   }
 
   @Override
-  public void handle(ServerExchange call) {
-    HttpMessage r = call.request();
-    String expected = r.first("X-Otterpond-Expected-Instance");
-    if (expected != null && !expected.equals(id)) {
-      call.answer(HttpMessage.response(421).header("X-Otterpond-Not-Executed", "other-instance"));
+  public void handle(ServerExchange exchange) {
+    HttpMessage request = exchange.request();
+    String expected = request.first("X-Otterpond-Expected-Instance");
+    if (expected != null && !expected.equals(instance)) {
+      exchange.answer(
+          HttpMessage.response(MISDIRECTED_REQUEST)
+              .header("X-Otterpond-Not-Executed", "other-instance"));
       return;
     }
     served++;
-    call.answer(
-        HttpMessage.response(200)
-            .header("X-Otterpond-Attempt-Id", r.first("X-Otterpond-Attempt-Id"))
-            .header("X-Otterpond-Server-Seal", id + "." + served)
+    exchange.answer(
+        HttpMessage.response(OK)
+            .header(ATTEMPT_ID, request.first(ATTEMPT_ID))
+            .header("X-Otterpond-Server-Seal", instance + "." + served)
             .header("Content-Type", "text/plain")
-            .body(("served " + r.target() + "\n").getBytes(StandardCharsets.UTF_8)));
+            .body(("served " + request.target() + "\n").getBytes(StandardCharsets.UTF_8)));
   }
 }
--- a/src/main/java/org/otterpond/tools/SelfTest.java
+++ b/src/main/java/org/otterpond/tools/SelfTest.java
@@ -1,11 +1,10 @@
 package org.otterpond.tools;
 
+import com.google.gson.JsonArray;
+import com.google.gson.JsonObject;
 import java.io.IOException;
-import java.net.HttpURLConnection;
 import java.net.InetAddress;
 import java.net.ServerSocket;
-import java.net.URI;
-import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.Map;
@@ -17,161 +16,196 @@
 import org.otterpond.storage.StorageException;
 
 /**
- * One node alone on the loopback, a worker beside it and a few requests through both. The build
- * runs it to record which classes a node loads; for anybody else it is a check that the program
- * works on this machine.
+ * The self-test: runs one node and one worker on the loopback interface, writes a configuration,
+ * registers the worker and sends requests through the node. It prints each step.
+ *
+ * <p>It shows that the program works on a machine. The build also runs it to record which classes a
+ * node loads, for the class archive.
  */
 public final class SelfTest {
   private static final String HOST = "127.0.0.1";
-  private static final int FRONT = freePort();
-  private static final int READY = freePort();
-  private static final int CONTROL = freePort();
-  private static final int INTERNAL = freePort();
-  private static final int WORKER = freePort();
-  private static final long PATIENCE_MILLIS = 20_000;
+  private static final String INSTANCE = "i-self-test";
+  private static final String SERVICE = "s";
+  private static final int KEYED_REQUESTS = 20;
+
+  /** Each idempotency key is sent this often, so that a repeated request is answered too. */
+  private static final int REQUESTS_PER_KEY = 2;
+
+  // Free ports, as several self-tests may run on one machine.
+  private final int frontPort = freePort();
+  private final int readinessPort = freePort();
+  private final int controlPort = freePort();
+  private final int internalPort = freePort();
+  private final int workerPort = freePort();
+  private final SelfTestClient front = new SelfTestClient(HOST, frontPort);
+  private final SelfTestClient readiness = new SelfTestClient(HOST, readinessPort);
+  private final SelfTestClient control = new SelfTestClient(HOST, controlPort);
 
   private SelfTest() {}
 
-  /** Several rehearsals may run on one machine. */
   private static int freePort() {
-    try (ServerSocket s = new ServerSocket(0, 1, InetAddress.getByName(HOST))) {
-      return s.getLocalPort();
+    try (ServerSocket socket = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
+      return socket.getLocalPort();
     } catch (IOException e) {
-      throw new IllegalStateException("no free port", e);
+      throw new IllegalStateException("no free port on " + HOST, e);
     }
   }
 
+  /**
+   * Runs the self-test.
+   *
+   * @return the exit code: 0 if every step succeeded, else 1
+   */
   public static int run() {
+    SelfTest test = new SelfTest();
     try {
-      Path folder = Files.createTempDirectory("otterpond-rehearsal");
-      Path file = folder.resolve("local.json");
-      Files.writeString(file, settings(folder.resolve("data")));
-      NodeServer server = new NodeServer(file, NodeSettings.load(file));
-      Thread node =
-          new Thread(
-              () -> {
-                try {
-                  server.run();
-                } catch (IOException | StorageException e) {
-                  System.err.println("event=rehearsal_node_failed cause=\"" + e + "\"");
-                }
-              },
-              "rehearsal-node");
-      node.setDaemon(true);
-      node.start();
-      EventLoop eventLoop = new EventLoop();
-      new SampleWorkerServer(eventLoop, "i-rehearsal", PeerTransport.address(HOST + ":" + WORKER));
-      Thread worker = new Thread(eventLoop, "rehearsal-worker");
-      worker.setDaemon(true);
-      worker.start();
-      return play() ? 0 : 1;
+      test.startNode();
+      test.startWorker();
+      boolean passed = test.runSteps();
+      System.out.println("event=self_test_finished passed=" + passed);
+      return passed ? 0 : 1;
     } catch (IOException | ConfigException | InterruptedException e) {
-      System.err.println("event=rehearsal_failed cause=\"" + e + "\"");
+      System.err.println("event=self_test_failed cause=\"" + e + "\"");
       return 1;
     }
   }
 
-  private static boolean play() throws InterruptedException {
-    String config =
-        "{\"revision\":1,\"route_table\":[{\"name\":\"r\",\"host_name\":\"127.0.0.1\","
-            + "\"path_prefix\":\"/a/\",\"route_type\":\"idempotent\",\"guard_timer_ms\":2000,"
-            + "\"target_service\":\"s\",\"max_attempts\":2},{\"name\":\"k\",\"host_name\":\"127.0.0.1\","
-            + "\"path_prefix\":\"/k/\",\"route_type\":\"keyed\",\"guard_timer_ms\":2000,"
-            + "\"target_service\":\"s\",\"max_attempts\":2}],\"service_table\":[{\"name\":\"s\"}]}";
-    String beat =
-        "{\"target_service\":\"s\",\"address\":\""
-            + HOST
-            + ":"
-            + WORKER
-            + "\",\"zone\":\"z\","
-            + "\"capacity_slots\":4,\"state\":\"in_service\",\"warmup_left_ms\":0,\"call_sequence\":1}";
-    boolean ok =
-        until(
-            "POST",
-            CONTROL,
-            "/-/Configuration.Replace",
-            config,
-            Map.of("X-Otterpond-Base-Revision", "0"));
-    ok = ok && until("POST", CONTROL, "/-/Instances.Heartbeat/i-rehearsal", beat, Map.of());
-    ok = ok && until("GET", READY, "/-/readiness", null, Map.of());
-    ok = ok && until("GET", FRONT, "/a/1", null, Map.of("X-Otterpond-Attempt-Id", "1"));
-    for (int i = 0; i < 20; i++) {
-      ok =
-          ok
-              && until(
-                  "POST",
-                  FRONT,
-                  "/k/1",
-                  "body",
-                  Map.of(
-                      "X-Otterpond-Attempt-Id",
-                      "k" + i,
-                      "X-Otterpond-Operation-Key",
-                      "key" + i / 2));
+  private void startNode() throws IOException, ConfigException {
+    Path folder = Files.createTempDirectory("otterpond-self-test");
+    Path settingsFile = folder.resolve("local.json");
+    Files.writeString(settingsFile, settings(folder.resolve("data")).toString());
+    NodeServer server = new NodeServer(settingsFile, NodeSettings.load(settingsFile));
+    startDaemon("self-test-node", () -> runNode(server));
+  }
+
+  private static void runNode(NodeServer server) {
+    try {
+      server.run();
+    } catch (IOException | StorageException e) {
+      System.err.println("event=self_test_node_failed cause=\"" + e + "\"");
     }
-    ok = ok && until("GET", CONTROL, "/-/Configuration.Read", null, Map.of());
-    System.out.println("event=rehearsed ok=" + ok);
-    return ok;
-  }
-
-  /** Calls until it is answered 200, for as long as patience lasts. */
-  private static boolean until(
-      String method, int port, String path, String body, Map<String, String> headers)
-      throws InterruptedException {
-    long end = System.nanoTime() + PATIENCE_MILLIS * 1_000_000;
-    while (System.nanoTime() < end) {
-      try {
-        HttpURLConnection c =
-            (HttpURLConnection)
-                URI.create("http://" + HOST + ":" + port + path).toURL().openConnection();
-        c.setRequestMethod(method);
-        c.setConnectTimeout(500);
-        c.setReadTimeout(2_000);
-        headers.forEach(c::setRequestProperty);
-        if (body != null) {
-          c.setDoOutput(true);
-          c.getOutputStream().write(body.getBytes(StandardCharsets.UTF_8));
-        }
-        if (c.getResponseCode() == 200) {
-          c.getInputStream().readAllBytes();
-          return true;
-        }
-      } catch (IOException e) {
-        // Not up yet, or an answer other than 200: asked again until patience ends.
+  }
+
+  private void startWorker() throws IOException {
+    EventLoop eventLoop = new EventLoop();
+    new SampleWorkerServer(eventLoop, INSTANCE, PeerTransport.address(HOST + ":" + workerPort));
+    startDaemon("self-test-worker", eventLoop);
+  }
+
+  private static void startDaemon(String name, Runnable task) {
+    Thread thread = new Thread(task, name);
+    thread.setDaemon(true);
+    thread.start();
+  }
+
+  private boolean runSteps() throws InterruptedException {
+    return step("write a configuration", this::writeConfiguration)
+        && step("register a worker", this::sendHeartbeat)
+        && step("wait until the node is ready", () -> readiness.get("/-/readiness", Map.of()))
+        && step("send an idempotent request", this::sendIdempotentRequest)
+        && step("send requests with idempotency keys", this::sendKeyedRequests)
+        && step("read the configuration", () -> control.get("/-/Configuration.Read", Map.of()));
+  }
+
+  /** One step of the test; returns whether it succeeded. */
+  private interface Step {
+    boolean run() throws InterruptedException;
+  }
+
+  private static boolean step(String name, Step step) throws InterruptedException {
+    boolean passed = step.run();
+    System.out.println("event=self_test_step name=\"" + name + "\" passed=" + passed);
+    return passed;
+  }
+
+  private boolean writeConfiguration() throws InterruptedException {
+    return control.post(
+        "/-/Configuration.Replace",
+        configuration().toString(),
+        Map.of("X-Otterpond-Base-Revision", "0"));
+  }
+
+  private boolean sendHeartbeat() throws InterruptedException {
+    return control.post("/-/Instances.Heartbeat/" + INSTANCE, heartbeat().toString(), Map.of());
+  }
+
+  private boolean sendIdempotentRequest() throws InterruptedException {
+    return front.get("/a/1", Map.of("X-Otterpond-Attempt-Id", "1"));
+  }
+
+  private boolean sendKeyedRequests() throws InterruptedException {
+    for (int i = 0; i < KEYED_REQUESTS; i++) {
+      Map<String, String> headers =
+          Map.of(
+              "X-Otterpond-Attempt-Id",
+              "k" + i,
+              "X-Otterpond-Operation-Key",
+              "key" + i / REQUESTS_PER_KEY);
+      if (!front.post("/k/1", "body", headers)) {
+        return false;
       }
-      Thread.sleep(100);
     }
-    System.err.println("event=rehearsal_step_failed call=\"" + method + " " + path + "\"");
-    return false;
-  }
-
-  private static String settings(Path data) {
-    return "{\"node_name\":\"rehearsal\",\"ip\":\""
-        + HOST
-        + "\",\"zone\":\"z\",\"listen_points\":{"
-        + "\"front_plain\":\""
-        + HOST
-        + ":"
-        + FRONT
-        + "\",\"readiness_point\":\""
-        + HOST
-        + ":"
-        + READY
-        + "\",\"control_point\":\""
-        + HOST
-        + ":"
-        + CONTROL
-        + "\"},\"internal_port_range\":["
-        + INTERNAL
-        + ","
-        + (INTERNAL + 1)
-        + "],\"seed_peers\":[\""
-        + HOST
-        + ":"
-        + CONTROL
-        + "\"],\"initial_start\":true,"
-        + "\"data_dir\":\""
-        + data
-        + "\"}";
+    return true;
+  }
+
+  private static JsonObject configuration() {
+    JsonArray routes = new JsonArray();
+    routes.add(route("r", "/a/", "idempotent"));
+    routes.add(route("k", "/k/", "keyed"));
+    JsonObject service = new JsonObject();
+    service.addProperty("name", SERVICE);
+    JsonArray services = new JsonArray();
+    services.add(service);
+    JsonObject configuration = new JsonObject();
+    configuration.addProperty("revision", 1);
+    configuration.add("route_table", routes);
+    configuration.add("service_table", services);
+    return configuration;
+  }
+
+  private static JsonObject route(String name, String pathPrefix, String type) {
+    JsonObject route = new JsonObject();
+    route.addProperty("name", name);
+    route.addProperty("host_name", HOST);
+    route.addProperty("path_prefix", pathPrefix);
+    route.addProperty("route_type", type);
+    route.addProperty("guard_timer_ms", 2_000);
+    route.addProperty("target_service", SERVICE);
+    route.addProperty("max_attempts", 2);
+    return route;
+  }
+
+  private JsonObject heartbeat() {
+    JsonObject heartbeat = new JsonObject();
+    heartbeat.addProperty("target_service", SERVICE);
+    heartbeat.addProperty("address", HOST + ":" + workerPort);
+    heartbeat.addProperty("zone", "z");
+    heartbeat.addProperty("capacity_slots", 4);
+    heartbeat.addProperty("state", "in_service");
+    heartbeat.addProperty("warmup_left_ms", 0);
+    heartbeat.addProperty("call_sequence", 1);
+    return heartbeat;
+  }
+
+  private JsonObject settings(Path dataDirectory) {
+    JsonObject listenPoints = new JsonObject();
+    listenPoints.addProperty("front_plain", HOST + ":" + frontPort);
+    listenPoints.addProperty("readiness_point", HOST + ":" + readinessPort);
+    listenPoints.addProperty("control_point", HOST + ":" + controlPort);
+    JsonArray internalPorts = new JsonArray();
+    internalPorts.add(internalPort);
+    internalPorts.add(internalPort + 1);
+    JsonArray seeds = new JsonArray();
+    seeds.add(HOST + ":" + controlPort);
+    JsonObject settings = new JsonObject();
+    settings.addProperty("node_name", "self-test");
+    settings.addProperty("ip", HOST);
+    settings.addProperty("zone", "z");
+    settings.add("listen_points", listenPoints);
+    settings.add("internal_port_range", internalPorts);
+    settings.add("seed_peers", seeds);
+    settings.addProperty("initial_start", true);
+    settings.addProperty("data_dir", dataDirectory.toString());
+    return settings;
   }
 }
--- a/src/test/java/org/otterpond/control/agent/ActiveConfigurationTest.java
+++ b/src/test/java/org/otterpond/control/agent/ActiveConfigurationTest.java
@@ -6,9 +6,9 @@
 
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import org.otterpond.control.state.CompressedBytes;
-import org.otterpond.control.state.ConfigurationChange;
-import org.otterpond.control.state.ConfigurationUpdate;
+import org.otterpond.control.message.CompressedBytes;
+import org.otterpond.control.message.ConfigurationChange;
+import org.otterpond.control.message.ConfigurationUpdate;
 import org.otterpond.protocol.CompressedPayload;
 
 class ActiveConfigurationTest {
