--- a/src/main/java/org/otterpond/proxy/IdempotencyKeyLocking.java
+++ b/src/main/java/org/otterpond/proxy/IdempotencyKeyLocking.java
@@ -4,6 +4,8 @@
 import org.otterpond.config.NodeSettings;
 import org.otterpond.control.agent.ControlPlaneAgent;
 import org.otterpond.control.agent.QuotaCache;
+import org.otterpond.control.message.ClaimKeyReply;
+import org.otterpond.control.message.ClaimKeyRequest;
 import org.otterpond.net.EventLoop;
 import org.otterpond.net.GatewayResponses;
 import org.otterpond.protocol.ProtocolException;
@@ -59,11 +61,8 @@
   /** Requests the lock; together with it a token of the quota where none is available here. */
   void lock(RequestContext request) {
     WireRecord ask =
-        new WireRecord("ask")
-            .with("op", "claim")
-            .with("key", request.operationKey)
-            .with("token", request.lockToken)
-            .with("holder", ownAddress);
+        new ClaimKeyRequest(request.operationKey, request.lockToken, ownAddress, null)
+            .toWireRecord();
     if (request.countsAgainstQuota() && !request.quotaTokenReserved && !quota.tryReserve(request)) {
       quotaCache.sign(ask).with("tenant", quotaCache.part(request.tenant.name(), 1));
     }
@@ -76,7 +75,8 @@
         reply -> answered(request, reply, askedAtMicros));
   }
 
-  private void answered(RequestContext request, WireRecord reply, long askedAtMicros) {
+  private void answered(RequestContext request, WireRecord encoded, long askedAtMicros) {
+    ClaimKeyReply reply = decodedReply(encoded);
     if (reply == null) {
       keys.release(request);
       if (!request.finished) {
@@ -84,11 +84,11 @@
       }
       return;
     }
-    WireRecord lent = reply.nested("lent");
+    WireRecord lent = reply.grant() == null ? null : reply.grant().toWireRecord();
     if (lent != null) {
-      quotaCache.lent(reply.number("term"), lent, askedAtMicros, false);
+      quotaCache.lent(reply.quotaTerm().orElse(0), lent, askedAtMicros, false);
     }
-    if (reply.truth("granted")) {
+    if (reply.granted()) {
       granted(request);
       return;
     }
@@ -97,9 +97,19 @@
       return;
     }
     if (lent != null) {
-      withoutQuotaToken(request, lent);
+      withoutQuotaToken(request, reply.grant().overQuota(), lent);
     } else {
-      replayFrom(request, reply.text("holder"), reply.text("run"));
+      replayFrom(request, reply.holder(), reply.holdingToken());
+    }
+  }
+
+  /** Returns null where the core gave no answer that can be read. */
+  private static ClaimKeyReply decodedReply(WireRecord encoded) {
+    try {
+      return encoded == null ? null : ClaimKeyReply.of(encoded);
+    } catch (ProtocolException e) {
+      LOG.warn("event=malformed_message from=primary cause=\"{}\"", e.getMessage());
+      return null;
     }
   }
 
@@ -133,8 +143,8 @@
   }
 
   /** The key is not locked, but the owner of the quota lent no token for the attempt. */
-  private void withoutQuotaToken(RequestContext request, WireRecord lent) {
-    if (lent.truth("over")) {
+  private void withoutQuotaToken(RequestContext request, boolean overQuota, WireRecord lent) {
+    if (overQuota) {
       completion.rejectOverQuota(request, QuotaCache.retryAfter(lent));
     } else if (request.moreThanHalfLeft(EventLoop.now())) {
       eventLoop.after(QuotaCache.pause(lent), () -> lockAgain(request));
@@ -168,7 +178,7 @@
     try {
       return encoded == null ? null : RunOutcome.of(encoded);
     } catch (ProtocolException e) {
-      LOG.warn("event=message_malformed peer={} cause=\"{}\"", holder, e.getMessage());
+      LOG.warn("event=malformed_message from={} cause=\"{}\"", holder, e.getMessage());
       return null;
     }
   }
--- a/src/main/java/org/otterpond/proxy/IdempotencyKeys.java
+++ b/src/main/java/org/otterpond/proxy/IdempotencyKeys.java
@@ -5,6 +5,7 @@
 import java.util.function.Consumer;
 import org.otterpond.config.NodeSettings;
 import org.otterpond.control.agent.ControlPlaneAgent;
+import org.otterpond.control.message.ReleaseKeyRequest;
 import org.otterpond.net.EventLoop;
 import org.otterpond.net.HttpMessage;
 import org.otterpond.protocol.WireRecord;
@@ -107,7 +108,7 @@
   /** Releases a lock under which nothing was executed; a lock under another token stays. */
   void release(String key, String token, Consumer<WireRecord> answered) {
     agent.ask(
-        new WireRecord("ask").with("op", "free").with("key", key).with("token", token),
+        new ReleaseKeyRequest(key, token).toWireRecord(),
         RELEASE_TIMEOUT_MICROS,
         RELEASE_RESEND_MICROS,
         answered);
