--- a/src/test/java/org/otterpond/protocol/GoldenMessagesTest.java
+++ b/src/test/java/org/otterpond/protocol/GoldenMessagesTest.java
@@ -106,28 +106,12 @@
           "worker",
           "working");
 
-  private record Sample(String kind, List<String> fields, byte[] bytes) {
-    static Sample of(String line) {
-      String[] columns = line.split("\t", -1);
-      List<String> fields = columns[1].isEmpty() ? List.of() : List.of(columns[1].split(","));
-      return new Sample(columns[0], fields, HexFormat.of().parseHex(columns[2]));
-    }
-
-    WireRecord decoded() throws ProtocolException {
-      return WireRecordCodec.decode(bytes, 0, bytes.length);
-    }
-  }
-
-  private static List<Sample> samples() {
-    return Fixtures.lines("messages.txt").stream().map(Sample::of).toList();
-  }
-
   private static Stream<Executable> each(SampleCheck check) {
-    return samples().stream().map(sample -> () -> check.check(sample));
+    return GoldenMessages.samples().stream().map(sample -> () -> check.check(sample));
   }
 
   private interface SampleCheck {
-    void check(Sample sample) throws ProtocolException;
+    void check(GoldenMessages.Sample sample) throws ProtocolException;
   }
 
   private static void addKinds(Object value, Set<String> kinds) {
@@ -165,7 +149,7 @@
   @Test
   void givenAllKindsOfTheCode_whenSamplesAreSearched_thenEachIsThere() throws ProtocolException {
     Set<String> found = new TreeSet<>();
-    for (Sample sample : samples()) {
+    for (GoldenMessages.Sample sample : GoldenMessages.samples()) {
       addKinds(sample.decoded().asMap(), found);
     }
     Set<String> missing = new TreeSet<>(KINDS);
