--- a/src/main/java/org/otterpond/replication/GroupConfiguration.java
+++ b/src/main/java/org/otterpond/replication/GroupConfiguration.java
@@ -117,7 +117,7 @@
   }
 
   /** Returns the next version without a secondary. */
-  GroupConfiguration withoutSecondary(String member) {
+  public GroupConfiguration withoutSecondary(String member) {
     return next(primary, secondariesExcept(member));
   }
 
--- a/src/test/java/org/otterpond/control/primary/ReplicaPlacementTest.java
+++ b/src/test/java/org/otterpond/control/primary/ReplicaPlacementTest.java
@@ -141,7 +141,7 @@
     placement.began();
     run(3, 3);
     GroupConfiguration current = group(0);
-    GroupConfiguration proposed = current.without(current.secondaries().get(0));
+    GroupConfiguration proposed = current.withoutSecondary(current.secondaries().get(0));
 
     // when
     reconfiguration.reconfigure(new ReconfigureGroupRequest(proposed), replies::add);
