--- a/src/test/java/org/otterpond/control/epoch/BandwidthLimitedCore.java
+++ b/src/test/java/org/otterpond/control/epoch/BandwidthLimitedCore.java
@@ -17,7 +17,7 @@
 import org.otterpond.protocol.WireRecordCodec;
 import org.otterpond.runtime.NodeRuntime;
 
-/** Members of a core on simulated time, whose links carry so many bytes a second each. */
+/** Members of a core on simulated time, with links of limited bandwidth. */
 final class BandwidthLimitedCore {
   private record Event(long at, long number, Runnable task) implements Comparable<Event> {
     @Override
@@ -35,14 +35,14 @@
   private long now = 1_000_000;
   private long number;
 
-  /** Says which messages are lost: by receiver and message. */
-  BiPredicate<String, WireRecord> lost = (to, f) -> false;
+  /** Decides which messages are lost, by receiver and message. */
+  BiPredicate<String, WireRecord> isLost = (to, f) -> false;
 
-  int pieces;
+  int sentChunks;
 
-  BandwidthLimitedCore(int size, int faults, double megabits) {
+  BandwidthLimitedCore(int size, int faults, double megabitsPerSecond) {
     this.faults = faults;
-    megabits(megabits);
+    setMegabitsPerSecond(megabitsPerSecond);
     List<CoreMember> coreMembers = new ArrayList<>();
     for (int i = 1; i <= size; i++) {
       coreMembers.add(new CoreMember("disk" + i, "m" + i, "m" + i, "z"));
@@ -58,13 +58,13 @@
         .forEach(
             m -> {
               m.start();
-              m.watch.found(first);
+              m.replica.found(first);
             });
     run(1_000_000);
   }
 
-  void megabits(double megabits) {
-    bytesPerMicro = megabits / 8;
+  void setMegabitsPerSecond(double megabitsPerSecond) {
+    bytesPerMicro = megabitsPerSecond / 8;
   }
 
   void run(long micros) {
@@ -83,33 +83,33 @@
 
   Member leader() {
     return members.values().stream()
-        .filter(m -> m.watch != null && m.watch.leading())
+        .filter(m -> m.replica != null && m.replica.leading())
         .findFirst()
         .orElse(null);
   }
 
   /**
-   * How long until a primary leads that is not of the epoch given; -1 if it takes longer than the
-   * bound.
+   * How long until there is a primary of an epoch after the one given; -1 if it takes longer than
+   * the bound.
    */
   long untilEpochAfter(long epoch, long bound) {
     long from = now;
     while (now - from < bound) {
       run(10_000);
       Member l = leader();
-      if (l != null && l.watch.record().epoch() > epoch) {
+      if (l != null && l.replica.record().epoch() > epoch) {
         return now - from;
       }
     }
     return -1;
   }
 
-  /** Claims of operation keys, as many as a busy window holds. */
-  void claims(int count) {
+  /** Locks idempotency keys, as many as a busy time window has. */
+  void lockKeys(int count) {
     for (int done = 0; done < count; ) {
       Member l = leader();
       for (int i = 0; i < 500 && done < count; i++, done++) {
-        l.watch.propose(
+        l.replica.propose(
             new WireRecord("claim")
                 .with(
                     "key",
@@ -128,12 +128,12 @@
   final class Member implements NodeRuntime, EpochListener {
     final CoreMember member;
     final List<byte[]> journal = new ArrayList<>();
-    EpochReplica watch;
+    EpochReplica replica;
 
-    /** So many writes are refused from now on. */
+    /** The number of writes that are refused from now on. */
     int refusals;
 
-    private int life;
+    private int incarnation;
     private long linkFree;
 
     Member(CoreMember member) {
@@ -141,8 +141,8 @@
     }
 
     void start() {
-      life++;
-      watch =
+      incarnation++;
+      replica =
           new EpochReplica(
               this,
               EpochTimeouts.standard(),
@@ -150,25 +150,25 @@
               member,
               new ReplicatedState(60_000_000),
               FaultTolerance.ofMachines(faults));
-      journal.forEach(b -> watch.replay(decoded(b)));
-      tick(life);
+      journal.forEach(b -> replica.replay(decoded(b)));
+      tick(incarnation);
     }
 
     void kill() {
-      watch = null;
-      life++;
+      replica = null;
+      incarnation++;
     }
 
-    int claims() {
-      return watch.hold().claimCount();
+    int lockedKeys() {
+      return replica.hold().claimCount();
     }
 
     private void tick(int of) {
       at(
           100_000,
           () -> {
-            if (of == life) {
-              watch.tick();
+            if (of == incarnation) {
+              replica.tick();
               tick(of);
             }
           });
@@ -182,14 +182,14 @@
     @Override
     public void send(String address, WireRecord message) {
       byte[] bytes = WireRecordCodec.encode(message);
-      pieces += message.kind().equals("snappiece") ? 1 : 0;
+      sentChunks += message.kind().equals("snappiece") ? 1 : 0;
       linkFree = Math.max(linkFree, now) + (long) (bytes.length / bytesPerMicro);
       at(
           linkFree - now + 500,
           () -> {
             Member m = members.get(address);
-            if (m.watch != null && !lost.test(address, message)) {
-              m.watch.onMessage(member.address(), decoded(bytes));
+            if (m.replica != null && !isLost.test(address, message)) {
+              m.replica.onMessage(member.address(), decoded(bytes));
             }
           });
     }
@@ -197,12 +197,12 @@
     @Override
     public void journal(WireRecord record, Consumer<Boolean> done) {
       byte[] bytes = WireRecordCodec.encode(record);
-      int of = life;
+      int of = incarnation;
       boolean refused = refusals-- > 0;
       at(
           1_000,
           () -> {
-            if (of == life) {
+            if (of == incarnation) {
               if (!refused) {
                 journal.add(bytes);
               }
@@ -213,11 +213,11 @@
 
     @Override
     public void after(long delay, Runnable task) {
-      int of = life;
+      int of = incarnation;
       at(
           delay,
           () -> {
-            if (of == life) {
+            if (of == incarnation) {
               task.run();
             }
           });
@@ -235,17 +235,17 @@
 
     @Override
     public void began(EpochRecord record, boolean continued) {
-      // Nobody is served here.
+      // No services run here.
     }
 
     @Override
     public void steppedDown() {
-      // Nobody is served here.
+      // No services run here.
     }
 
     @Override
     public void learnt(EpochRecord record) {
-      // Nobody is served here.
+      // No services run here.
     }
   }
 
--- a/src/test/java/org/otterpond/control/epoch/CoreLogFixtureTest.java
+++ b/src/test/java/org/otterpond/control/epoch/CoreLogFixtureTest.java
@@ -46,7 +46,7 @@
 
   private static EpochReplica replayed(List<WireRecord> records, ManualRuntime runtime) {
     CoreMember self = new CoreMember(records.get(0).text("disk"), "m", "m", "z");
-    EpochReplica watch =
+    EpochReplica replica =
         new EpochReplica(
             runtime,
             EpochTimeouts.standard(),
@@ -54,12 +54,12 @@
             self,
             new ReplicatedState(KEY_WINDOW_MICROS),
             FaultTolerance.ofMachines(1));
-    records.subList(1, records.size()).forEach(watch::replay);
-    return watch;
+    records.subList(1, records.size()).forEach(replica::replay);
+    return replica;
   }
 
-  private static long epochIn(EpochReplica watch, String kind) {
-    return watch.journalBase().stream()
+  private static long epochIn(EpochReplica replica, String kind) {
+    return replica.journalBase().stream()
         .filter(f -> f.kind().equals(kind))
         .mapToLong(f -> f.number("epoch"))
         .findFirst()
@@ -67,26 +67,30 @@
   }
 
   /** The state as one sorted list of lines, in the form of the expected text. */
-  private static List<String> state(EpochReplica watch, List<String> expected) {
-    ReplicatedState hold = watch.hold();
+  private static List<String> state(EpochReplica replica, List<String> expected) {
+    ReplicatedState replicated = replica.hold();
     List<String> lines = new ArrayList<>();
-    lines.add("promised " + epochIn(watch, "promise"));
-    lines.add("begun " + epochIn(watch, "begun"));
-    lines.add("record " + RecordText.of(watch.record().toWireRecord()));
-    lines.add("revision " + hold.revision() + " " + watch.committedRevision());
-    lines.add("configuration " + hold.text().unpacked());
-    lines.add("configuration " + watch.committedText().unpacked());
-    hold.workers().forEach(w -> lines.add("worker " + RecordText.of(w)));
-    lines.add("assignments " + hold.assignments().number());
-    hold.assignments().all().values().forEach(a -> lines.add("assignment " + RecordText.of(a)));
-    lines.add("claims " + hold.claimCount());
+    lines.add("promised " + epochIn(replica, "promise"));
+    lines.add("begun " + epochIn(replica, "begun"));
+    lines.add("record " + RecordText.of(replica.record().toWireRecord()));
+    lines.add("revision " + replicated.revision() + " " + replica.committedRevision());
+    lines.add("configuration " + replicated.text().unpacked());
+    lines.add("configuration " + replica.committedText().unpacked());
+    replicated.workers().forEach(w -> lines.add("worker " + RecordText.of(w)));
+    lines.add("assignments " + replicated.assignments().number());
+    replicated
+        .assignments()
+        .all()
+        .values()
+        .forEach(a -> lines.add("assignment " + RecordText.of(a)));
+    lines.add("claims " + replicated.claimCount());
     for (String line : expected) {
       String[] words = line.split(" ", -1);
-      if (words[0].equals("claim") && hold.claim(words[1]) != null) {
-        IdempotencyKeyLock claim = hold.claim(words[1]);
+      if (words[0].equals("claim") && replicated.claim(words[1]) != null) {
+        IdempotencyKeyLock claim = replicated.claim(words[1]);
         lines.add("claim " + words[1] + " " + claim.token() + " " + claim.holder());
       } else if (words[0].equals("taken")
-          && hold.taken().holds(Long.parseLong(words[1]), words[2])) {
+          && replicated.taken().holds(Long.parseLong(words[1]), words[2])) {
         lines.add(line);
       }
     }
@@ -107,8 +111,8 @@
       throws StorageException {
     List<String> expected = Fixtures.lines(member + "-state.txt");
     ManualRuntime runtime = new ManualRuntime();
-    EpochReplica watch = replayed(records(member), runtime);
-    assertEquals(String.join("\n", expected), String.join("\n", state(watch, expected)));
+    EpochReplica replica = replayed(records(member), runtime);
+    assertEquals(String.join("\n", expected), String.join("\n", state(replica, expected)));
     assertEquals(List.of(), runtime.events(), "no record is skipped");
   }
 
@@ -118,10 +122,10 @@
       throws StorageException {
     List<WireRecord> records = records(member);
     List<WireRecord> base = records.subList(0, 1 + (int) records.get(0).number("count"));
-    EpochReplica watch = replayed(base, new ManualRuntime());
+    EpochReplica replica = replayed(base, new ManualRuntime());
     assertEquals(
         base.subList(1, base.size()).stream().map(RecordText::of).toList(),
-        watch.journalBase().stream().map(RecordText::of).toList());
+        replica.journalBase().stream().map(RecordText::of).toList());
   }
 
   @Test
--- a/src/test/java/org/otterpond/control/epoch/LeadershipProofTest.java
+++ b/src/test/java/org/otterpond/control/epoch/LeadershipProofTest.java
@@ -17,8 +17,8 @@
   private final List<Boolean> results = new ArrayList<>();
 
   private void pong(int backup, long pingSentAtMicros) {
-    CoreMember sender = primary.watch.record().backups().get(backup);
-    long epoch = primary.watch.record().epoch();
+    CoreMember sender = primary.replica.record().backups().get(backup);
+    long epoch = primary.replica.record().epoch();
     Pong pong =
         new Pong(
             OptionalLong.of(pingSentAtMicros),
@@ -26,13 +26,13 @@
             epoch,
             OptionalLong.of(epoch),
             null);
-    primary.watch.onMessage(sender.address(), pong.toWireRecord());
+    primary.replica.onMessage(sender.address(), pong.toWireRecord());
   }
 
   private void requestProofWithoutAnswers() {
-    core.lost = (to, message) -> true;
+    core.isLost = (to, message) -> true;
     core.run(10_000);
-    primary.watch.confirm(results::add);
+    primary.replica.confirm(results::add);
   }
 
   @Test
--- a/src/test/java/org/otterpond/control/epoch/ManualRuntime.java
+++ b/src/test/java/org/otterpond/control/epoch/ManualRuntime.java
@@ -8,10 +8,7 @@
 import org.otterpond.protocol.WireRecord;
 import org.otterpond.runtime.NodeRuntime;
 
-/**
- * A node's surroundings whose clock stands until the test moves it. Messages are kept and go
- * nowhere.
- */
+/** A runtime whose clock stands until the test moves it. Messages are kept and not delivered. */
 public final class ManualRuntime implements NodeRuntime, EpochListener {
   private record Timer(long at, long number, Runnable task) implements Comparable<Timer> {
     @Override
@@ -79,16 +76,16 @@
 
   @Override
   public void began(EpochRecord record, boolean continued) {
-    // Nothing is served here.
+    // No services run here.
   }
 
   @Override
   public void steppedDown() {
-    // Nothing is served here.
+    // No services run here.
   }
 
   @Override
   public void learnt(EpochRecord record) {
-    // Nothing is served here.
+    // No services run here.
   }
 }
--- a/src/test/java/org/otterpond/control/epoch/SnapshotTransferTest.java
+++ b/src/test/java/org/otterpond/control/epoch/SnapshotTransferTest.java
@@ -8,30 +8,33 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
+import org.otterpond.control.epoch.message.FormerAuthority;
 import org.otterpond.control.state.CoreMember;
+import org.otterpond.control.state.FaultTolerance;
+import org.otterpond.control.state.ReplicatedState;
 import org.otterpond.protocol.WireRecord;
 
 /**
- * A large state reaches the backups of a new epoch, whole or not at all, however narrow the link
- * is.
+ * A large state reaches the backups of a new epoch completely or not at all, also on slow links.
  */
 class SnapshotTransferTest {
-  private static final long S = 1_000_000;
+  private static final long SECOND_MICROS = 1_000_000;
 
-  private static String tail(BandwidthLimitedCore c) {
-    return String.join("\n", c.log.subList(Math.max(0, c.log.size() - 30), c.log.size()));
+  private static String tail(BandwidthLimitedCore core) {
+    return String.join("\n", core.log.subList(Math.max(0, core.log.size() - 30), core.log.size()));
   }
 
   @ParameterizedTest
   @CsvSource({"100, 100000, 1", "100, 100000, 2", "10, 20000, 1", "2, 10000, 2", "1000, 100000, 2"})
-  void epochBeginsHoweverLongTheCopyTakes(double megabits, int claims, int faults) {
-    BandwidthLimitedCore c = new BandwidthLimitedCore(2 * faults + 1, faults, 1000);
-    c.claims(claims);
-    c.megabits(megabits);
-    BandwidthLimitedCore.Member former = c.leader();
-    long epoch = former.watch.record().epoch();
+  void givenSlowLinks_whenPrimaryIsLost_thenEpochBeginsWithWholeState(
+      double megabits, int claims, int faults) {
+    BandwidthLimitedCore core = new BandwidthLimitedCore(2 * faults + 1, faults, 1000);
+    core.lockKeys(claims);
+    core.setMegabitsPerSecond(megabits);
+    BandwidthLimitedCore.Member former = core.leader();
+    long epoch = former.replica.record().epoch();
     former.kill();
-    long took = c.untilEpochAfter(epoch, 29 * S);
+    long took = core.untilEpochAfter(epoch, 29 * SECOND_MICROS);
     System.out.println(
         "copied megabits="
             + megabits
@@ -42,10 +45,10 @@
             + " took_ms="
             + took / 1000
             + " pieces="
-            + c.pieces);
-    assertTrue(took > 0, () -> tail(c));
-    for (CoreMember b : c.leader().watch.record().backups()) {
-      assertEquals(claims, c.members.get(b.address()).claims());
+            + core.sentChunks);
+    assertTrue(took > 0, () -> tail(core));
+    for (CoreMember b : core.leader().replica.record().backups()) {
+      assertEquals(claims, core.members.get(b.address()).lockedKeys());
     }
   }
 
@@ -54,63 +57,67 @@
    * and dies.
    */
   @Test
-  void memberWithPartOfSnapshotKeepsItsStateAndNeverLeads() {
-    BandwidthLimitedCore c = new BandwidthLimitedCore(3, 1, 1000);
-    c.claims(20_000);
-    c.megabits(5);
-    BandwidthLimitedCore.Member primary = c.leader();
-    BandwidthLimitedCore.Member other = c.members.get("m3");
+  void givenPartOfSnapshot_whenItsSenderEnds_thenMemberKeepsItsStateAndIsNotPrimary() {
+    BandwidthLimitedCore core = new BandwidthLimitedCore(3, 1, 1000);
+    core.lockKeys(20_000);
+    core.setMegabitsPerSecond(5);
+    BandwidthLimitedCore.Member primary = core.leader();
+    final BandwidthLimitedCore.Member other = core.members.get("m3");
     assertEquals(
-        List.of("m2"), primary.watch.record().backups().stream().map(CoreMember::address).toList());
-    long epoch = primary.watch.record().epoch();
-    c.members.get("m2").kill();
-    c.run(1_200 * 1000);
+        List.of("m2"),
+        primary.replica.record().backups().stream().map(CoreMember::address).toList());
+    final long epoch = primary.replica.record().epoch();
+    core.members.get("m2").kill();
+    core.run(1_200 * 1000);
     assertTrue(
-        c.pieces > 10 && other.journal.stream().allMatch(b -> b.length < 1_000), () -> tail(c));
+        core.sentChunks > 10 && other.journal.stream().allMatch(b -> b.length < 1_000),
+        () -> tail(core));
     primary.kill();
     other.kill();
-    c.run(S);
+    core.run(SECOND_MICROS);
     other.start();
-    assertEquals(0, other.claims());
-    c.members.get("m2").start();
-    assertTrue(c.untilEpochAfter(epoch, 20 * S) > 0, () -> tail(c));
-    assertEquals("m2", c.leader().member.address());
-    assertEquals(20_000, c.members.get("m3").claims());
+    assertEquals(0, other.lockedKeys());
+    core.members.get("m2").start();
+    assertTrue(core.untilEpochAfter(epoch, 20 * SECOND_MICROS) > 0, () -> tail(core));
+    assertEquals("m2", core.leader().member.address());
+    assertEquals(20_000, core.members.get("m3").lockedKeys());
   }
 
   @Test
-  void missingPieceIsSentAgainAndNothingAfterItIsTaken() {
-    BandwidthLimitedCore c = new BandwidthLimitedCore(3, 1, 100);
-    c.claims(20_000);
-    long epoch = c.leader().watch.record().epoch();
+  void givenLostChunk_whenReceiverIsSilent_thenItIsSentAgain() {
+    BandwidthLimitedCore core = new BandwidthLimitedCore(3, 1, 100);
+    core.lockKeys(20_000);
+    long epoch = core.leader().replica.record().epoch();
     int[] drops = {3};
-    c.lost = (to, f) -> f.kind().equals("snappiece") && f.number("piece") == 5 && drops[0]-- > 0;
-    c.members.get("m2").kill();
-    assertTrue(c.untilEpochAfter(epoch, 8 * S) > 0, () -> tail(c));
-    assertEquals(20_000, c.members.get("m3").claims());
+    core.isLost =
+        (to, message) ->
+            message.kind().equals("snappiece") && message.number("piece") == 5 && drops[0]-- > 0;
+    core.members.get("m2").kill();
+    assertTrue(core.untilEpochAfter(epoch, 8 * SECOND_MICROS) > 0, () -> tail(core));
+    assertEquals(20_000, core.members.get("m3").lockedKeys());
   }
 
-  /** The word that the state is held is lost: it is said again, and the state is taken once. */
+  /** The answer that the snapshot is installed is lost: it is sent again. */
   @Test
-  void lostWordOfAnInstalledSnapshotIsSaidAgain() {
-    BandwidthLimitedCore c = new BandwidthLimitedCore(3, 1, 100);
-    c.claims(2_000);
-    long epoch = c.leader().watch.record().epoch();
+  void givenLostAnswer_whenSnapshotIsInstalled_thenItIsAnsweredAgainAndInstalledOnce() {
+    BandwidthLimitedCore core = new BandwidthLimitedCore(3, 1, 100);
+    core.lockKeys(2_000);
+    long epoch = core.leader().replica.record().epoch();
     int[] drops = {1};
-    c.lost = (to, f) -> f.kind().equals("snapok") && drops[0]-- > 0;
-    c.members.get("m2").kill();
-    assertTrue(c.untilEpochAfter(epoch, 3 * S) > 0, () -> tail(c));
-    assertEquals(1, c.members.get("m3").journal.stream().filter(b -> b.length > 10_000).count());
+    core.isLost = (to, message) -> message.kind().equals("snapok") && drops[0]-- > 0;
+    core.members.get("m2").kill();
+    assertTrue(core.untilEpochAfter(epoch, 3 * SECOND_MICROS) > 0, () -> tail(core));
+    assertEquals(1, core.members.get("m3").journal.stream().filter(b -> b.length > 10_000).count());
     assertEquals(
         1,
-        c.log.stream()
+        core.log.stream()
             .filter(l -> l.contains("event=candidacy ") && l.contains("base=" + epoch))
             .count(),
-        () -> tail(c));
+        () -> tail(core));
   }
 
   @Test
-  void piecesOfTwoSnapshotsAreNeverPutTogether() {
+  void givenChunks_whenReceived_thenEachIsTakenOnceAndInOrder() {
     WireRecord state = new WireRecord("state").with("text", "x".repeat(10));
     SnapshotSender a = new SnapshotSender(1, state);
     SnapshotReceiver r = new SnapshotReceiver(1);
@@ -124,33 +131,50 @@
     assertFalse(new SnapshotReceiver(1).isComplete(), "nothing is not a complete snapshot");
   }
 
-  /**
-   * What is open or on its way when a member of the group is lost is part of the state that is
-   * copied.
-   */
   @Test
-  void snapshotHasItsTail() {
-    BandwidthLimitedCore c = new BandwidthLimitedCore(3, 1, 1000);
-    c.claims(100);
-    BandwidthLimitedCore.Member primary = c.leader();
-    long epoch = primary.watch.record().epoch();
-    c.members.get("m2").kill();
+  void givenTwoBackups_whenOneHasInstalled_thenTransferIsNotComplete() {
+    CoreMember self = new CoreMember("disk1", "m1", "m1", "z");
+    CoreMember second = new CoreMember("disk2", "m2", "m2", "z");
+    CoreMember third = new CoreMember("disk3", "m3", "m3", "z");
+    EpochContext context =
+        new EpochContext(
+            new ManualRuntime(),
+            EpochTimeouts.standard(),
+            self,
+            new ReplicatedState(60 * SECOND_MICROS),
+            FaultTolerance.ofMachines(2));
+    SnapshotTransfer transfer =
+        new SnapshotTransfer(context, 64, List.of(second, third), new FormerAuthority(0, 0));
+    transfer.installed(second.diskId());
+    assertFalse(transfer.isComplete());
+    transfer.installed(third.diskId());
+    assertTrue(transfer.isComplete());
+  }
+
+  /** Entries that are open or in flight when a backup is lost are part of the snapshot. */
+  @Test
+  void givenOpenBatch_whenBackupIsLost_thenSnapshotContainsIt() {
+    BandwidthLimitedCore core = new BandwidthLimitedCore(3, 1, 1000);
+    core.lockKeys(100);
+    BandwidthLimitedCore.Member primary = core.leader();
+    long epoch = primary.replica.record().epoch();
+    core.members.get("m2").kill();
     int[] committed = {0};
     for (int i = 0; i < 7; i++) {
       // The first goes to the lost backup in vain, the others wait for it in the open batch.
-      primary.watch.propose(
+      primary.replica.propose(
           new WireRecord("claim").with("key", "tail" + i).with("token", "t").with("holder", "m1"),
           () -> committed[0]++);
-      c.run(10_000);
+      core.run(10_000);
     }
-    assertTrue(c.untilEpochAfter(epoch, 3 * S) > 0, () -> tail(c));
+    assertTrue(core.untilEpochAfter(epoch, 3 * SECOND_MICROS) > 0, () -> tail(core));
     assertEquals(7, committed[0]);
-    assertEquals("m1", c.leader().member.address());
-    long second = c.leader().watch.record().epoch();
+    assertEquals("m1", core.leader().member.address());
+    long second = core.leader().replica.record().epoch();
     primary.kill();
-    c.members.get("m2").start();
-    assertTrue(c.untilEpochAfter(second, 5 * S) > 0, () -> tail(c));
-    assertEquals("m3", c.leader().member.address());
-    assertEquals(107, c.leader().claims());
+    core.members.get("m2").start();
+    assertTrue(core.untilEpochAfter(second, 5 * SECOND_MICROS) > 0, () -> tail(core));
+    assertEquals("m3", core.leader().member.address());
+    assertEquals(107, core.leader().lockedKeys());
   }
 }
--- a/src/test/java/org/otterpond/control/epoch/WitnessTest.java
+++ b/src/test/java/org/otterpond/control/epoch/WitnessTest.java
@@ -143,4 +143,13 @@
     runtime.run(0);
     assertEquals("rack", runtime.sent().get(0).kind());
   }
+
+  @Test
+  void givenReplicatedBatches_whenFirstIsSentAgain_thenItIsAcknowledgedAndNotApplied() {
+    response(replicate(1));
+    WireRecord release = new WireRecord("free").with("key", "k").with("token", "t");
+    response(new ReplicateRequest(1, 2, List.of(release)));
+    assertEquals("rack", response(replicate(1)).kind());
+    assertEquals(0, replica.hold().claimCount());
+  }
 }
