--- /dev/null
+++ b/src/main/java/org/otterpond/messaging/DelayedMessages.java
@@ -0,0 +1,58 @@
+package org.otterpond.messaging;
+
+import java.util.Comparator;
+import java.util.PriorityQueue;
+import java.util.function.Consumer;
+import org.otterpond.replication.ReplicaGroupRuntime;
+
+/** The messages of one partition that are not due yet, with one timer for the earliest. */
+final class DelayedMessages {
+  private static final long MIN_TIMER_MICROS = 1_000;
+
+  private final ReplicaGroupRuntime runtime;
+  private final Consumer<Message> due;
+  private final PriorityQueue<Message> earliestFirst =
+      new PriorityQueue<>(Comparator.comparingLong((Message message) -> message.dueAtMicros));
+  private long timerAtMicros = Long.MAX_VALUE;
+
+  /**
+   * Creates an empty queue.
+   *
+   * @param due gets each message once it is due
+   */
+  DelayedMessages(ReplicaGroupRuntime runtime, Consumer<Message> due) {
+    this.runtime = runtime;
+    this.due = due;
+  }
+
+  void add(Message message) {
+    earliestFirst.remove(message);
+    earliestFirst.add(message);
+    schedule();
+  }
+
+  void remove(Message message) {
+    earliestFirst.remove(message);
+  }
+
+  void clear() {
+    earliestFirst.clear();
+  }
+
+  private void schedule() {
+    if (earliestFirst.isEmpty() || earliestFirst.peek().dueAtMicros >= timerAtMicros) {
+      return;
+    }
+    timerAtMicros = earliestFirst.peek().dueAtMicros;
+    runtime.after(Math.max(MIN_TIMER_MICROS, timerAtMicros - runtime.now()), this::expire);
+  }
+
+  private void expire() {
+    timerAtMicros = Long.MAX_VALUE;
+    long now = runtime.now();
+    while (!earliestFirst.isEmpty() && earliestFirst.peek().dueAtMicros <= now) {
+      due.accept(earliestFirst.poll());
+    }
+    schedule();
+  }
+}
--- a/src/main/java/org/otterpond/messaging/DeliveryListener.java
+++ b/src/main/java/org/otterpond/messaging/DeliveryListener.java
@@ -1,13 +1,12 @@
 package org.otterpond.messaging;
 
-/** What delivers the messages of the partitions that this node leads. */
+/** Delivers the messages of the partitions that this node leads. Called on the owner thread. */
 public interface DeliveryListener {
-  /** The message may be delivered now, and is the first of its order if it has one. */
-  void ready(MessagePartition queue, Message message);
+  /** The message may be delivered now; it is the first of its ordering key if it has one. */
+  void ready(MessagePartition partition, Message message);
 
   /**
-   * Nothing of this queue is to be begun any more; {@code quiet} runs once nothing of it is under
-   * way.
+   * No delivery of this partition may begin any more; {@code quiet} runs once none is in progress.
    */
-  void stop(MessagePartition queue, Runnable quiet);
+  void stop(MessagePartition partition, Runnable quiet);
 }
--- a/src/main/java/org/otterpond/messaging/Message.java
+++ b/src/main/java/org/otterpond/messaging/Message.java
@@ -1,143 +1,152 @@
 package org.otterpond.messaging;
 
-import java.util.ArrayList;
-import java.util.List;
-import org.otterpond.protocol.WireRecord;
-
-/** One message as the index in memory has it; method, headers and bytes stand on the disk. */
+import org.otterpond.messaging.message.AcceptedMessage;
+import org.otterpond.messaging.message.EndedMessage;
+import org.otterpond.messaging.message.MessageContent;
+import org.otterpond.messaging.message.MessageDestination;
+import org.otterpond.messaging.message.MessageKeys;
+import org.otterpond.messaging.message.MessageProgress;
+import org.otterpond.messaging.message.MessageSnapshot;
+import org.otterpond.messaging.message.MessageState;
+
+/** One message in the index in memory; its content is on the disk. Times are in microseconds. */
 public final class Message {
-  public enum State {
-    QUEUED,
-    COMPLETED,
-    DEAD_LETTER
-  }
+  /** The position of a message whose content is not on this disk. */
+  static final long NO_POSITION = -1;
 
-  final String id;
-  final String tenant;
-  final String orderKey;
-  final String operation;
-  final String host;
-  final String target;
+  private final MessageKeys keys;
+  private final MessageDestination destination;
 
-  /** The configuration under which it was accepted; an older one says nothing of its route. */
-  final long revision;
+  /** The serial number of its acceptance in the partition. */
+  long serial;
 
-  /** Its place among all that the partition has accepted. */
-  long turn;
-
-  long dueAt;
-  long keepUntil;
-  State state = State.QUEUED;
+  long dueAtMicros;
+  long retainUntilMicros;
+  MessageState state = MessageState.QUEUED;
   int attempts;
-  String seal;
-  long endedAt;
-  long place;
+  String serverSeal;
+  long endedAtMicros;
+
+  /** Where the content begins in the segmented log. */
+  long position = NO_POSITION;
 
-  /** The whole of it, while there is room in memory. */
-  WireRecord whole;
+  /** The content, while there is room for it in memory. */
+  MessageContent cachedContent;
 
-  /** The courier has it; so it is offered once at a time. */
+  /** Whether the delivery has it; so it is offered once at a time. */
   boolean offered;
 
-  /** Its end is on its way to the replicas. */
+  /** Whether its end is being replicated. */
   boolean ending;
 
-  Message(WireRecord f, long now) {
-    id = f.text("id");
-    tenant = f.text("tenant");
-    orderKey = f.text("order");
-    operation = f.text("op");
-    host = f.text("host");
-    target = f.text("target");
-    revision = f.number("cfg");
-    dueAt = now + f.number("delay");
-    keepUntil = now + f.number("keep");
-    attempts = (int) f.number("attempts");
-  }
-
+  private Message(MessageKeys keys, MessageDestination destination) {
+    this.keys = keys;
+    this.destination = destination;
+  }
+
+  /** Creates the message that was accepted with a serial number and stored at a position. */
+  static Message accepted(AcceptedMessage entry, long serial, long position, long nowMicros) {
+    Message message = new Message(entry.keys(), entry.destination());
+    message.serial = serial;
+    message.position = position;
+    message.dueAtMicros = nowMicros + entry.delayMicros();
+    message.retainUntilMicros = nowMicros + entry.retentionMicros();
+    return message;
+  }
+
+  /** Creates a message of which only the end is known. */
+  static Message ended(EndedMessage entry, long nowMicros) {
+    Message message = new Message(entry.keys(), entry.destination());
+    message.dueAtMicros = nowMicros;
+    message.retainUntilMicros = nowMicros;
+    message.state = entry.state();
+    message.serverSeal = entry.serverSeal();
+    message.endedAtMicros = nowMicros;
+    return message;
+  }
+
+  /** Creates the message of a snapshot that was stored at a position. */
+  static Message restored(MessageSnapshot snapshot, long position, long nowMicros) {
+    MessageProgress progress = snapshot.progress();
+    Message message = new Message(snapshot.keys(), snapshot.destination());
+    message.serial = progress.serial();
+    message.dueAtMicros = nowMicros + progress.delayMicros();
+    message.retainUntilMicros = nowMicros + progress.retentionMicros();
+    message.state = progress.state();
+    message.attempts = progress.attempts();
+    message.serverSeal = progress.serverSeal();
+    message.endedAtMicros = nowMicros - progress.endedForMicros();
+    message.position = snapshot.content() == null ? NO_POSITION : position;
+    return message;
+  }
+
+  /** Returns the message as it goes to another replica; the content may be null. */
+  MessageSnapshot snapshot(MessageContent content, long nowMicros) {
+    MessageProgress progress =
+        new MessageProgress(
+            serial,
+            Math.max(0, dueAtMicros - nowMicros),
+            Math.max(0, retainUntilMicros - nowMicros),
+            state,
+            attempts,
+            serverSeal,
+            nowMicros - endedAtMicros);
+    return new MessageSnapshot(keys, destination, progress, content);
+  }
+
+  MessageKeys keys() {
+    return keys;
+  }
+
+  MessageDestination destination() {
+    return destination;
+  }
+
+  /** Returns its unique id. */
   public String id() {
-    return id;
+    return keys.id();
   }
 
+  /** Returns the tenant that submitted it, or null. */
   public String tenant() {
-    return tenant;
+    return keys.tenant();
   }
 
+  /** Returns the host that the client named. */
   public String host() {
-    return host;
+    return destination.host();
   }
 
+  /** Returns the request target without its query. */
   public String path() {
-    int q = target.indexOf('?');
-    return q < 0 ? target : target.substring(0, q);
+    return destination.path();
   }
 
+  /** Returns the request target. */
   public String target() {
-    return target;
+    return destination.target();
   }
 
+  /** Returns the configuration under which it was accepted; an older one may lack its route. */
   public long revision() {
-    return revision;
+    return destination.revision();
   }
 
+  /** Returns the number of failed attempts. */
   public int attempts() {
     return attempts;
   }
 
-  public State state() {
+  /** Returns what has become of it. */
+  public MessageState state() {
     return state;
   }
 
-  public String seal() {
-    return seal;
-  }
-
-  public boolean ordered() {
-    return orderKey != null;
-  }
-
-  String operationName() {
-    return operation == null ? null : operationName(tenant, operation);
-  }
-
-  static String operationName(String tenant, String operation) {
-    return (tenant == null ? "" : tenant) + "\n" + operation;
-  }
-
-  String line() {
-    return orderKey == null ? null : (tenant == null ? "" : tenant) + "\n" + orderKey;
-  }
-
-  /** As it goes to another replica, with times as what is left of them. */
-  WireRecord piece(WireRecord stored, long now) {
-    WireRecord f =
-        new WireRecord("message")
-            .with("id", id)
-            .with("tenant", tenant)
-            .with("order", orderKey)
-            .with("op", operation)
-            .with("host", host)
-            .with("target", target)
-            .with("cfg", revision)
-            .with("turn", turn)
-            .with("delay", Math.max(0, dueAt - now))
-            .with("keep", Math.max(0, keepUntil - now))
-            .with("state", state.name())
-            .with("attempts", attempts)
-            .with("seal", seal)
-            .with("ended", state == State.QUEUED ? null : (Object) (now - endedAt));
-    if (stored != null) {
-      f.with("method", stored.text("method"))
-          .with("headers", stored.list("headers"))
-          .with("body", stored.bytes("body"));
-    }
-    return f;
+  boolean queued() {
+    return state == MessageState.QUEUED;
   }
 
-  /** The headers as stored: name, value, name, value. */
-  public static List<String> headers(WireRecord whole) {
-    List<String> out = new ArrayList<>();
-    whole.list("headers").forEach(o -> out.add((String) o));
-    return out;
+  boolean ordered() {
+    return keys.orderingKey() != null;
   }
 }
--- a/src/main/java/org/otterpond/messaging/MessageBodyCache.java
+++ b/src/main/java/org/otterpond/messaging/MessageBodyCache.java
@@ -1,42 +1,47 @@
 package org.otterpond.messaging;
 
 import java.util.ArrayDeque;
-import org.otterpond.protocol.WireRecord;
+import org.otterpond.messaging.message.MessageContent;
 
 /**
- * The newest messages of a node in memory, up to so many bytes; the others are read back from the
- * disk.
+ * Keeps the content of the newest messages of a node in memory, up to a number of bytes; that of
+ * others is read from the disk.
  */
 final class MessageBodyCache {
-  private static final int OVERHEAD = 1_000;
+  private static final long OVERHEAD_BYTES = 1_000;
 
-  private final long most;
-  private long held;
-  private final ArrayDeque<Message> kept = new ArrayDeque<>();
+  /** Above this length, messages that have been removed are dropped from the front. */
+  private static final int MAX_STALE_LENGTH = 4_096;
 
-  MessageBodyCache(long most) {
-    this.most = most;
+  private final long maxBytes;
+  private final ArrayDeque<Message> oldestFirst = new ArrayDeque<>();
+  private long totalBytes;
+
+  MessageBodyCache(long maxBytes) {
+    this.maxBytes = maxBytes;
   }
 
-  void keep(Message m, WireRecord whole) {
-    m.whole = whole;
-    held += size(whole);
-    kept.addLast(m);
-    while (held > most || kept.size() > 4_096 && kept.peekFirst().whole == null) {
-      Message first = kept.pollFirst();
-      drop(first);
+  void put(Message message, MessageContent content) {
+    message.cachedContent = content;
+    totalBytes += sizeOf(content);
+    oldestFirst.addLast(message);
+    while (totalBytes > maxBytes || staleAtFront()) {
+      remove(oldestFirst.pollFirst());
     }
   }
 
-  void drop(Message m) {
-    if (m.whole != null) {
-      held -= size(m.whole);
-      m.whole = null;
+  private boolean staleAtFront() {
+    return oldestFirst.size() > MAX_STALE_LENGTH && oldestFirst.peekFirst().cachedContent == null;
+  }
+
+  void remove(Message message) {
+    if (message.cachedContent != null) {
+      totalBytes -= sizeOf(message.cachedContent);
+      message.cachedContent = null;
     }
   }
 
-  private static long size(WireRecord whole) {
-    byte[] b = whole.bytes("body");
-    return OVERHEAD + (b == null ? 0 : b.length);
+  private static long sizeOf(MessageContent content) {
+    return OVERHEAD_BYTES + content.body().length;
   }
 }
--- a/src/main/java/org/otterpond/messaging/MessagePartition.java
+++ b/src/main/java/org/otterpond/messaging/MessagePartition.java
@@ -1,383 +1,325 @@
 package org.otterpond.messaging;
 
-import java.util.ArrayDeque;
 import java.util.ArrayList;
-import java.util.HashMap;
 import java.util.Iterator;
-import java.util.LinkedHashMap;
 import java.util.List;
-import java.util.Map;
-import java.util.PriorityQueue;
 import java.util.function.BooleanSupplier;
 import java.util.function.Consumer;
+import org.otterpond.messaging.message.AcceptedMessage;
+import org.otterpond.messaging.message.EndedMessage;
+import org.otterpond.messaging.message.FailedAttempt;
+import org.otterpond.messaging.message.MessageContent;
+import org.otterpond.messaging.message.MessageEntry;
+import org.otterpond.messaging.message.MessageSnapshot;
+import org.otterpond.messaging.message.MessageState;
+import org.otterpond.protocol.ProtocolException;
 import org.otterpond.protocol.WireRecord;
 import org.otterpond.replication.ReplicaGroupRuntime;
 import org.otterpond.replication.StateMachine;
 import org.otterpond.storage.RecordReader;
 
 /**
- * The messages of one partition: which there are, in what order they may go, what became of them.
- * Replicated by the partition's group; only the primary's copy hands messages to the courier.
+ * The messages of one partition: which there are, in what order they may be delivered, what has
+ * become of them. Replicated by the partition's group; only the primary's replica offers messages
+ * for delivery.
  */
 public final class MessagePartition implements StateMachine {
-  private static final int OLDEST_LOOK = 200;
-
-  private final ReplicaGroupRuntime host;
-  private final RecordReader records;
-  private final DeliveryListener delivery;
-  private final BooleanSupplier leased;
-  private final MessageBodyCache cache;
-
-  /** How long the state of a message that has ended is told, and a repeat of it answered. */
-  private final long endedKept;
-
-  private final Map<String, Message> index = new LinkedHashMap<>();
-  private final Map<String, Message> byOperation = new HashMap<>();
-  private final Map<String, ArrayDeque<Message>> lines = new HashMap<>();
-  private final PriorityQueue<Message> delayed =
-      new PriorityQueue<>((a, b) -> Long.compare(a.dueAt, b.dueAt));
-  private final ArrayDeque<Message> ended = new ArrayDeque<>();
+  private static final String ENTRY = "entry";
+  private static final String SNAPSHOT = "piece";
+
+  private final ReplicaGroupRuntime runtime;
+  private final Resources resources;
+  private final BooleanSupplier leaseValid;
+  private final MessageIndex index = new MessageIndex();
+  private final OrderedMessages ordered = new OrderedMessages();
+  private final DelayedMessages delayed;
   private boolean serving;
-  private long timerAt = Long.MAX_VALUE;
-  private int queued;
-  private int dead;
 
-  MessagePartition(
-      ReplicaGroupRuntime host,
+  /**
+   * What the partitions of one machine share.
+   *
+   * @param records reads the content of messages from the disk
+   * @param delivery gets the messages that may be delivered
+   * @param cache keeps the content of new messages
+   * @param endedRetentionMicros how long a message that has ended stays in the index
+   */
+  record Resources(
       RecordReader records,
       DeliveryListener delivery,
       MessageBodyCache cache,
-      long endedKept,
-      BooleanSupplier leased) {
-    this.leased = leased;
-    this.host = host;
-    this.records = records;
-    this.delivery = delivery;
-    this.cache = cache;
-    this.endedKept = endedKept;
+      long endedRetentionMicros) {}
+
+  MessagePartition(ReplicaGroupRuntime runtime, Resources resources, BooleanSupplier leaseValid) {
+    this.runtime = runtime;
+    this.resources = resources;
+    this.leaseValid = leaseValid;
+    this.delayed = new DelayedMessages(runtime, this::offer);
   }
 
+  /** Returns the message with an id, or null. */
   public Message get(String id) {
     return index.get(id);
   }
 
-  Message ofOperation(String name) {
-    return byOperation.get(name);
-  }
-
-  int queued() {
-    return queued;
-  }
-
-  int dead() {
-    return dead;
+  /** Returns the index, to be read only. */
+  MessageIndex index() {
+    return index;
   }
 
-  /** How long the oldest message that is due has waited, in microseconds. */
-  long oldest(long now) {
-    // Accepted in this order; the first that is due and still here is the one that waits, or close
-    // to it.
-    int looked = 0;
-    for (Message m : index.values()) {
-      if (m.state == Message.State.QUEUED && m.dueAt <= now) {
-        return now - m.dueAt;
-      }
-      if (++looked > OLDEST_LOOK) {
-        break;
-      }
-    }
-    return 0;
-  }
-
-  // --------------------------------------------------------------- entries
+  // Entries that the group has committed.
 
   @Override
-  public void apply(WireRecord entry, long serial, long place) {
-    switch (entry.kind()) {
-      case "put" -> put(entry, serial, place);
-      case "tried" -> {
-        Message m = index.get(entry.text("id"));
-        if (m != null) {
-          m.attempts = Math.max(m.attempts, (int) entry.number("attempts"));
-        }
-      }
-      case "end" -> end(entry, host.now());
-      default -> host.event("event=queue_entry_unknown kind=" + entry.kind());
+  public void apply(WireRecord encoded, long serial, long position) {
+    MessageEntry entry;
+    try {
+      entry = MessageEntry.of(encoded);
+    } catch (ProtocolException e) {
+      runtime.event("event=message_entry_unknown cause=\"" + e.getMessage() + "\"");
+      return;
+    }
+    if (entry instanceof AcceptedMessage accepted) {
+      accept(accepted, serial, position);
+    } else if (entry instanceof FailedAttempt failed) {
+      countAttempts(index.get(failed.id()), failed.attempts());
+    } else if (entry instanceof EndedMessage ended) {
+      end(ended);
     }
   }
 
-  private void put(WireRecord entry, long serial, long place) {
-    if (index.containsKey(entry.text("id"))) {
+  private void accept(AcceptedMessage entry, long serial, long position) {
+    if (index.get(entry.keys().id()) != null) {
       return;
     }
-    Message m = new Message(entry, host.now());
-    m.turn = serial;
-    m.place = place;
-    add(m);
+    Message message = Message.accepted(entry, serial, position, runtime.now());
+    add(message);
     if (serving) {
-      cache.keep(m, entry);
-      offer(m);
+      resources.cache().put(message, entry.content());
+      offer(message);
     }
   }
 
-  private void add(Message m) {
-    index.put(m.id, m);
-    if (m.operation != null) {
-      byOperation.putIfAbsent(m.operationName(), m);
-    }
-    if (m.state == Message.State.QUEUED) {
-      queued++;
-      if (m.ordered()) {
-        stand(lines.computeIfAbsent(m.line(), l -> new ArrayDeque<>()), m);
-      }
-    } else {
-      dead += m.state == Message.State.DEAD_LETTER ? 1 : 0;
-      ended.addLast(m);
+  private void add(Message message) {
+    index.add(message);
+    if (message.queued() && message.ordered()) {
+      ordered.add(message);
     }
   }
 
-  /** In the order of acceptance, also where the journal has an earlier one further on. */
-  private static void stand(ArrayDeque<Message> line, Message m) {
-    if (line.isEmpty() || line.peekLast().turn <= m.turn) {
-      line.addLast(m);
-      return;
+  private static void countAttempts(Message message, int attempts) {
+    if (message != null) {
+      message.attempts = Math.max(message.attempts, attempts);
     }
-    List<Message> all = new ArrayList<>(line);
-    all.add(m);
-    all.sort((a, b) -> Long.compare(a.turn, b.turn));
-    line.clear();
-    line.addAll(all);
   }
 
-  private void end(WireRecord entry, long at) {
-    Message m = index.get(entry.text("id"));
-    if (m == null) {
-      m = new Message(entry, host.now());
-      m.state = Message.State.valueOf(entry.text("state"));
-      m.seal = entry.text("seal");
-      m.endedAt = at;
-      m.place = -1;
-      add(m);
+  private void end(EndedMessage entry) {
+    Message message = index.get(entry.keys().id());
+    if (message == null) {
+      add(Message.ended(entry, runtime.now()));
       return;
     }
-    if (m.state != Message.State.QUEUED) {
+    if (!message.queued()) {
       return;
     }
-    m.state = Message.State.valueOf(entry.text("state"));
-    m.seal = entry.text("seal");
-    m.endedAt = at;
-    queued--;
-    dead += m.state == Message.State.DEAD_LETTER ? 1 : 0;
-    ended.addLast(m);
-    delayed.remove(m);
-    if (m.state == Message.State.COMPLETED) {
-      cache.drop(m);
+    message.state = entry.state();
+    message.serverSeal = entry.serverSeal();
+    message.endedAtMicros = runtime.now();
+    index.ended(message);
+    delayed.remove(message);
+    if (message.state == MessageState.COMPLETED) {
+      resources.cache().remove(message);
     }
-    if (m.ordered()) {
-      ArrayDeque<Message> line = lines.get(m.line());
-      if (line != null) {
-        line.remove(m);
-        if (line.isEmpty()) {
-          lines.remove(m.line());
-        } else if (serving) {
-          offer(line.peekFirst());
-        }
-      }
+    if (message.ordered()) {
+      offerNext(message);
     }
   }
 
-  // ---------------------------------------------------------------- offers
-
-  /** Hands it to the courier if it is its turn and its time. */
-  private void offer(Message m) {
-    if (m.state != Message.State.QUEUED
-        || m.offered
-        || m.ending
-        || m.ordered() && lines.get(m.line()).peekFirst() != m) {
-      return;
+  private void offerNext(Message ended) {
+    Message next = ordered.removeAndPeek(ended);
+    if (next != null && serving) {
+      offer(next);
     }
-    long now = host.now();
-    if (m.dueAt > now) {
-      delayed.remove(m);
-      delayed.add(m);
-      timer();
-      return;
-    }
-    m.offered = true;
-    delivery.ready(this, m);
   }
 
-  private void timer() {
-    if (delayed.isEmpty() || delayed.peek().dueAt >= timerAt) {
+  // Delivery.
+
+  /** Offers a message for delivery if it is due and the first of its ordering key. */
+  private void offer(Message message) {
+    if (!serving
+        || !message.queued()
+        || message.offered
+        || message.ending
+        || (message.ordered() && !ordered.isFirst(message))) {
       return;
     }
-    timerAt = delayed.peek().dueAt;
-    host.after(
-        Math.max(1_000, timerAt - host.now()),
-        () -> {
-          timerAt = Long.MAX_VALUE;
-          long now = host.now();
-          while (!delayed.isEmpty() && delayed.peek().dueAt <= now) {
-            Message m = delayed.poll();
-            if (serving) {
-              offer(m);
-            }
-          }
-          timer();
-        });
+    if (message.dueAtMicros > runtime.now()) {
+      delayed.add(message);
+      return;
+    }
+    message.offered = true;
+    resources.delivery().ready(this, message);
   }
 
-  /** The courier gives it back, to be offered again after a pause. */
-  public void later(Message m, long pause) {
-    m.offered = false;
-    if (serving && m.state == Message.State.QUEUED) {
-      m.dueAt = Math.max(m.dueAt, host.now() + pause);
-      offer(m);
+  /** Takes a message back from the delivery; it is offered again after a pause. */
+  public void later(Message message, long pauseMicros) {
+    message.offered = false;
+    if (serving && message.queued()) {
+      message.dueAtMicros = Math.max(message.dueAtMicros, runtime.now() + pauseMicros);
+      offer(message);
     }
   }
 
   /**
-   * Whether deliveries may be begun this moment: looked at anew each time, as a lease may have run
-   * out just now.
+   * Returns whether deliveries may begin at this moment. To be called anew each time, as a lease
+   * may just have expired.
    */
   public boolean serving() {
-    return serving && leased.getAsBoolean();
+    return serving && leaseValid.getAsBoolean();
+  }
+
+  @Override
+  public void serving(boolean nowServing) {
+    if (serving == nowServing) {
+      return;
+    }
+    serving = nowServing;
+    if (nowServing) {
+      new ArrayList<>(index.all()).forEach(this::offer);
+    } else {
+      resources.delivery().stop(this, () -> {});
+      delayed.clear();
+    }
   }
 
-  /** Reads the whole of a message, from memory or from the disk; null if it cannot be had. */
-  public void whole(Message m, Consumer<WireRecord> use) {
-    if (m.whole != null) {
-      use.accept(m.whole);
-    } else if (m.place < 0) {
+  /** Reads the content of a message from memory or from the disk; null if it cannot be read. */
+  public void whole(Message message, Consumer<MessageContent> use) {
+    if (message.cachedContent != null) {
+      use.accept(message.cachedContent);
+    } else if (message.position < 0) {
       use.accept(null);
     } else {
-      records.read(
-          m.place,
-          r ->
-              use.accept(
-                  r == null ? null : r.has("entry") ? r.nested("entry") : r.nested("piece")));
+      resources.records().read(message.position, stored -> use.accept(contentOf(stored)));
     }
   }
 
-  @Override
-  public void serving(boolean is) {
-    if (serving == is) {
-      return;
+  /** A content is stored as an entry of the group, or in a snapshot. */
+  private MessageContent contentOf(WireRecord stored) {
+    if (stored == null) {
+      return null;
     }
-    serving = is;
-    if (is) {
-      new ArrayList<>(index.values()).forEach(this::offer);
-    } else {
-      delivery.stop(this, () -> {});
-      delayed.clear();
+    try {
+      return MessageContent.of(stored.requiredNested(stored.has(ENTRY) ? ENTRY : SNAPSHOT));
+    } catch (ProtocolException e) {
+      runtime.event("event=message_unreadable cause=\"" + e.getMessage() + "\"");
+      return null;
     }
   }
 
   @Override
   public void quiesce(Runnable done) {
-    delivery.stop(this, done);
+    resources.delivery().stop(this, done);
   }
 
-  // ------------------------------------------------------------------ time
-
-  /** Forgets what ended long ago; names the messages that were kept for as long as they may be. */
-  List<Message> expire(long now) {
-    while (!ended.isEmpty() && now - ended.peekFirst().endedAt > endedKept) {
-      Message m = ended.pollFirst();
-      index.remove(m.id);
-      dead -= m.state == Message.State.DEAD_LETTER ? 1 : 0;
-      cache.drop(m);
-      if (m.operation != null) {
-        byOperation.remove(m.operationName(), m);
-      }
-    }
-    List<Message> old = new ArrayList<>();
+  // Retention.
+
+  /** Removes messages that ended long ago; returns the queued ones whose retention is over. */
+  List<Message> expire(long nowMicros) {
+    index
+        .removeEndedBefore(nowMicros - resources.endedRetentionMicros())
+        .forEach(resources.cache()::remove);
+    List<Message> expired = new ArrayList<>();
     if (serving) {
-      for (Message m : index.values()) {
-        if (m.state == Message.State.QUEUED && now > m.keepUntil && !m.ending && !m.offered) {
-          old.add(m);
+      for (Message message : index.all()) {
+        if (message.queued()
+            && nowMicros > message.retainUntilMicros
+            && !message.ending
+            && !message.offered) {
+          expired.add(message);
         }
       }
     }
-    return old;
+    return expired;
   }
 
-  // -------------------------------------------------------------- transfer
+  // Snapshots.
 
   @Override
   public void clear() {
-    index.values().forEach(cache::drop);
+    index.all().forEach(resources.cache()::remove);
     index.clear();
-    byOperation.clear();
-    lines.clear();
+    ordered.clear();
     delayed.clear();
-    ended.clear();
-    queued = 0;
-    dead = 0;
   }
 
   @Override
-  public void export(Consumer<WireRecord> piece) {
-    export(new ArrayList<>(index.values()).iterator(), piece);
+  public void export(Consumer<WireRecord> snapshots) {
+    export(new ArrayList<>(index.all()).iterator(), snapshots);
   }
 
-  private void export(Iterator<Message> rest, Consumer<WireRecord> piece) {
+  private void export(Iterator<Message> rest, Consumer<WireRecord> snapshots) {
     while (rest.hasNext()) {
-      Message m = rest.next();
-      if (m.state == Message.State.COMPLETED || m.place < 0) {
-        piece.accept(m.piece(null, host.now()));
-        continue;
-      }
-      if (m.whole != null) {
-        piece.accept(m.piece(m.whole, host.now()));
-        continue;
+      Message message = rest.next();
+      if (message.state == MessageState.COMPLETED || message.position < 0) {
+        snapshots.accept(encodedSnapshot(message, null));
+      } else if (message.cachedContent != null) {
+        snapshots.accept(encodedSnapshot(message, message.cachedContent));
+      } else {
+        whole(message, content -> exportRead(message, content, rest, snapshots));
+        return;
       }
-      whole(
-          m,
-          w -> {
-            if (w == null) {
-              // The copy would lack it: the one who waits for the end of it waits in vain, and asks
-              // elsewhere.
-              host.event("event=message_unreadable id=" + m.id);
-              return;
-            }
-            piece.accept(m.piece(w, host.now()));
-            export(rest, piece);
-          });
+    }
+    snapshots.accept(null);
+  }
+
+  private void exportRead(
+      Message message,
+      MessageContent content,
+      Iterator<Message> rest,
+      Consumer<WireRecord> snapshots) {
+    if (content == null) {
+      // Without the message the copy would be incomplete: it is never ended, so the candidate times
+      // out and asks elsewhere.
+      runtime.event("event=message_unreadable id=" + message.id());
       return;
     }
-    piece.accept(null);
+    snapshots.accept(encodedSnapshot(message, content));
+    export(rest, snapshots);
+  }
+
+  private WireRecord encodedSnapshot(Message message, MessageContent content) {
+    return message.snapshot(content, runtime.now()).toWireRecord();
   }
 
   @Override
-  public void load(WireRecord piece, long place) {
-    Message known = index.get(piece.text("id"));
-    if (known != null) {
-      known.attempts = Math.max(known.attempts, (int) piece.number("attempts"));
-      if (piece.has("body")) {
-        // The same message, standing further on in the journal.
-        known.place = place;
-      }
+  public void load(WireRecord encoded, long position) {
+    MessageSnapshot snapshot;
+    try {
+      snapshot = MessageSnapshot.of(encoded);
+    } catch (ProtocolException e) {
+      runtime.event("event=message_entry_unknown cause=\"" + e.getMessage() + "\"");
       return;
     }
-    long now = host.now();
-    Message m = new Message(piece, now);
-    m.state = Message.State.valueOf(piece.text("state"));
-    m.seal = piece.text("seal");
-    m.endedAt = now - piece.number("ended");
-    m.turn = piece.number("turn");
-    m.place = piece.has("body") ? place : -1;
-    add(m);
+    Message known = index.get(snapshot.keys().id());
+    if (known == null) {
+      add(Message.restored(snapshot, position, runtime.now()));
+      return;
+    }
+    countAttempts(known, snapshot.progress().attempts());
+    if (snapshot.content() != null) {
+      // The same message, further on in the log.
+      known.position = position;
+    }
   }
 
-  /** The messages whose bytes stand before a place of the journal, to be written further on. */
-  List<Message> standingBefore(long place) {
-    List<Message> out = new ArrayList<>();
-    for (Message m : index.values()) {
-      if (m.state != Message.State.COMPLETED && m.place >= 0 && m.place < place) {
-        out.add(m);
+  /** Returns the messages whose content is stored before a position and still needed. */
+  List<Message> storedBefore(long position) {
+    List<Message> stored = new ArrayList<>();
+    for (Message message : index.all()) {
+      if (message.state != MessageState.COMPLETED
+          && message.position >= 0
+          && message.position < position) {
+        stored.add(message);
       }
     }
-    return out;
+    return stored;
   }
 }
--- a/src/main/java/org/otterpond/server/MessageStoreServer.java
+++ b/src/main/java/org/otterpond/server/MessageStoreServer.java
@@ -8,6 +8,7 @@
 import org.otterpond.messaging.MessageStore;
 import org.otterpond.messaging.MessageStoreSettings;
 import org.otterpond.net.EventLoop;
+import org.otterpond.replication.GroupConfiguration;
 import org.otterpond.replication.ReplicaGroupTimeouts;
 import org.otterpond.storage.SegmentedLog;
 import org.otterpond.storage.SegmentedLogWriter;
@@ -62,8 +63,7 @@
       DeliveryListener delivery) {
     return new MessageStore(
         runtime,
-        id,
-        settings.internalAddress(),
+        GroupConfiguration.member(id, settings.internalAddress()),
         logWriter,
         new MessageStoreSettings(
             settings.statusMicros(),
--- a/src/main/java/org/otterpond/simulation/SimulatedDelivery.java
+++ b/src/main/java/org/otterpond/simulation/SimulatedDelivery.java
@@ -9,6 +9,7 @@
 import org.otterpond.messaging.Message;
 import org.otterpond.messaging.MessagePartition;
 import org.otterpond.messaging.MessageStore;
+import org.otterpond.messaging.message.MessageState;
 
 /**
  * Delivers to workers who succeed mostly, fail at times, and whose answers are lost now and then.
@@ -88,13 +89,13 @@
   private void told(MessagePartition queue, Message m, int draw, String seal) {
     if (draw < 85) {
       checker.read(m.id());
-      store.ended(queue, m, Message.State.COMPLETED, seal);
+      store.ended(queue, m, MessageState.COMPLETED, seal);
     } else if (draw >= 88 && draw < 90) {
-      store.ended(queue, m, Message.State.DEAD_LETTER, null);
+      store.ended(queue, m, MessageState.DEAD_LETTER, null);
     } else if (draw >= 90 && draw < 96) {
       store.tried(queue, m);
       if (m.attempts() >= MOST_ATTEMPTS) {
-        store.ended(queue, m, Message.State.DEAD_LETTER, null);
+        store.ended(queue, m, MessageState.DEAD_LETTER, null);
       } else {
         queue.later(m, 20_000);
       }
--- a/src/test/java/org/otterpond/architecture/PackageDependenciesTest.java
+++ b/src/test/java/org/otterpond/architecture/PackageDependenciesTest.java
@@ -31,6 +31,7 @@
           "control.primary",
           "control.agent",
           "proxy",
+          "messaging.message",
           "messaging",
           "server",
           "client",
