--- a/src/main/java/org/otterpond/simulation/SimulatedDelivery.java
+++ b/src/main/java/org/otterpond/simulation/SimulatedDelivery.java
@@ -9,6 +9,7 @@
 import org.otterpond.messaging.Message;
 import org.otterpond.messaging.MessagePartition;
 import org.otterpond.messaging.MessageStore;
+import org.otterpond.messaging.message.MessageState;
 
 /**
  * Delivers the messages of one storage node to simulated workers, most of which succeed; some
@@ -137,9 +138,9 @@
     switch (outcome) {
       case SUCCEEDED -> {
         checker.successAnswered(message.id());
-        messageStore.ended(partition, message, Message.State.COMPLETED, result);
+        messageStore.ended(partition, message, MessageState.COMPLETED, result);
       }
-      case REJECTED -> messageStore.ended(partition, message, Message.State.DEAD_LETTER, null);
+      case REJECTED -> messageStore.ended(partition, message, MessageState.DEAD_LETTER, null);
       case FAILED -> attemptFailed(partition, message);
       case SUCCEEDED_ANSWER_LOST, NOT_EXECUTED_ANSWER_LOST ->
           partition.later(message, RETRY_AFTER_TIMEOUT_MICROS);
@@ -151,7 +152,7 @@
   private void attemptFailed(MessagePartition partition, Message message) {
     messageStore.tried(partition, message);
     if (message.attempts() >= MAX_ATTEMPTS) {
-      messageStore.ended(partition, message, Message.State.DEAD_LETTER, null);
+      messageStore.ended(partition, message, MessageState.DEAD_LETTER, null);
     } else {
       partition.later(message, RETRY_AFTER_FAILURE_MICROS);
     }
--- a/src/main/java/org/otterpond/simulation/SimulatedNode.java
+++ b/src/main/java/org/otterpond/simulation/SimulatedNode.java
@@ -169,8 +169,7 @@
     messageStore =
         new MessageStore(
             runtime,
-            segmentStore.id,
-            address,
+            GroupConfiguration.member(segmentStore.id, address),
             segmentStore.attach(runtime::perform),
             MESSAGE_STORE_SETTINGS,
             delivery);
--- a/src/test/java/org/otterpond/architecture/PackageDependenciesTest.java
+++ b/src/test/java/org/otterpond/architecture/PackageDependenciesTest.java
@@ -32,6 +32,7 @@
           "control.primary",
           "control.agent",
           "proxy",
+          "messaging.message",
           "messaging",
           "server",
           "client",
--- a/src/test/java/org/otterpond/simulation/ReplicaGroupTest.java
+++ b/src/test/java/org/otterpond/simulation/ReplicaGroupTest.java
@@ -65,7 +65,8 @@
     group.settle();
     assertEquals(List.of(), group.broken);
     assertTrue(group.updates > 1_000, group.updates + " updates");
-    assertTrue(group.world.eventLog.stream().filter(l -> l.contains("group_reconciled")).count() <= 2);
+    assertTrue(
+        group.world.eventLog.stream().filter(l -> l.contains("group_reconciled")).count() <= 2);
   }
 
   private interface Defect {
