--- a/src/main/java/org/otterpond/control/message/WorkerReport.java
+++ b/src/main/java/org/otterpond/control/message/WorkerReport.java
@@ -39,7 +39,7 @@
    * @param nowMicros the sender's monotonic time
    */
   public static WorkerReport of(WorkerInstance worker, long nowMicros) {
-    return new WorkerReport(WorkerInstance.of(worker.toWireRecord(nowMicros), 0));
+    return new WorkerReport(withSlowStart(worker, Math.max(0, worker.warmUntil() - nowMicros)));
   }
 
   /** Returns the reports of several workers at the same time. */
@@ -67,6 +67,19 @@
     throw new ProtocolException("kind " + encoded.kind() + " has an unknown state: " + state);
   }
 
+  private static WorkerInstance withSlowStart(WorkerInstance worker, long untilMicros) {
+    return new WorkerInstance(
+        worker.id(),
+        worker.service(),
+        worker.address(),
+        worker.zone(),
+        worker.revision(),
+        worker.slots(),
+        worker.state(),
+        worker.sequence(),
+        untilMicros);
+  }
+
   static List<WorkerReport> listOf(WireRecord message, String field) throws ProtocolException {
     List<WorkerReport> reports = new ArrayList<>();
     for (WireRecord encoded : MessageFields.nestedList(message, field)) {
@@ -85,7 +98,7 @@
    * @param nowMicros the reader's monotonic time
    */
   public WorkerInstance worker(long nowMicros) {
-    return WorkerInstance.of(toWireRecord(), nowMicros);
+    return withSlowStart(relative, nowMicros + relative.warmUntil());
   }
 
   @Override
