--- a/src/main/java/org/otterpond/keyrange/KeyLoad.java
+++ b/src/main/java/org/otterpond/keyrange/KeyLoad.java
@@ -1,90 +1,96 @@
 package org.otterpond.keyrange;
 
 import java.util.HashMap;
-import java.util.Iterator;
 import java.util.Map;
+import java.util.SortedMap;
 import java.util.TreeMap;
 
 /**
- * How often the keys of one service are asked for, lately and for a while. Only keys that were
- * asked for are held.
+ * The request rates of the keys of one service, and how long the work of a request takes. Only keys
+ * that were requested are stored.
  */
 public final class KeyLoad {
-  private static final double LATELY = 1.2;
-  private static final double A_WHILE = 8;
-  private static final double COLD = 0.02;
+  private static final double RECENT_SECONDS = 1.2;
+  private static final double SUSTAINED_SECONDS = 8;
 
-  private final TreeMap<Integer, double[]> keys = new TreeMap<>();
-  private long cooledAt = Long.MIN_VALUE;
+  /** A key with fewer requests than this in the sustained period is no longer stored. */
+  private static final double FORGOTTEN_REQUESTS = 0.02;
 
-  /** How long the work of one request usually takes, in seconds. */
-  private double work;
+  private static final double WORK_SMOOTHING = 0.05;
+  private static final double MICROS_PER_SECOND = 1e6;
+  private static final long NEVER = Long.MIN_VALUE;
 
-  public void add(int key, double requests) {
-    double[] h = keys.computeIfAbsent(key, k -> new double[2]);
-    h[0] += requests / LATELY;
-    h[1] += requests / A_WHILE;
+  private final TreeMap<Integer, KeyRate> rates = new TreeMap<>();
+  private long decayedAtMicros = NEVER;
+  private double workSeconds;
+
+  /** Takes a node's report of requests since its report before. */
+  void add(KeyLoadReport report) {
+    addWork(report.workMicros().longValue() / MICROS_PER_SECOND);
+    report.requestsByKey().forEach(this::addRequests);
+  }
+
+  private void addRequests(int key, long requests) {
+    KeyRate added = new KeyRate(requests / RECENT_SECONDS, requests / SUSTAINED_SECONDS);
+    rates.merge(key, added, KeyRate::plus);
   }
 
-  public void work(double seconds) {
+  private void addWork(double seconds) {
     if (seconds > 0) {
-      work = work == 0 ? seconds : 0.95 * work + 0.05 * seconds;
+      workSeconds =
+          workSeconds == 0
+              ? seconds
+              : (1 - WORK_SMOOTHING) * workSeconds + WORK_SMOOTHING * seconds;
     }
   }
 
-  /** Seconds of a worker's slot that one request takes. */
-  public double work() {
-    return work;
+  /** Returns how long one request occupies a slot of a worker, in seconds; 0 if unknown. */
+  double workSeconds() {
+    return workSeconds;
   }
 
-  public void cool(long now) {
-    if (cooledAt == Long.MIN_VALUE) {
-      cooledAt = now;
-      return;
-    }
-    double dt = (now - cooledAt) / 1e6;
-    cooledAt = now;
-    double a = Math.exp(-dt / LATELY);
-    double b = Math.exp(-dt / A_WHILE);
-    Iterator<double[]> it = keys.values().iterator();
-    while (it.hasNext()) {
-      double[] h = it.next();
-      h[0] *= a;
-      h[1] *= b;
-      if (h[1] < COLD / A_WHILE) {
-        it.remove();
-      }
+  /** Lets the averages decay up to a time. */
+  void decay(long nowMicros) {
+    if (decayedAtMicros != NEVER) {
+      double elapsedSeconds = (nowMicros - decayedAtMicros) / MICROS_PER_SECOND;
+      decayBy(elapsedSeconds);
     }
+    decayedAtMicros = nowMicros;
   }
 
-  /** Requests a second in a range: lately, and for a while. */
-  public double[] in(int from, int to) {
-    double[] sum = new double[2];
-    for (double[] h : keys.subMap(from, true, to, true).values()) {
-      sum[0] += h[0];
-      sum[1] += h[1];
-    }
-    return sum;
+  private void decayBy(double elapsedSeconds) {
+    double recentFactor = Math.exp(-elapsedSeconds / RECENT_SECONDS);
+    double sustainedFactor = Math.exp(-elapsedSeconds / SUSTAINED_SECONDS);
+    rates.replaceAll(
+        (key, rate) ->
+            new KeyRate(rate.recent() * recentFactor, rate.sustained() * sustainedFactor));
+    rates.values().removeIf(rate -> rate.sustained() < FORGOTTEN_REQUESTS / SUSTAINED_SECONDS);
+  }
+
+  /** Returns the rate of all keys from the first to the last. */
+  KeyRate rateOf(int firstKey, int lastKey) {
+    return requestedKeys(firstKey, lastKey).values().stream().reduce(KeyRate.ZERO, KeyRate::plus);
   }
 
-  /** The keys of a range that were asked for, with how often. */
-  public Map<Integer, double[]> of(int from, int to) {
-    return keys.subMap(from, true, to, true);
+  /** Returns the rates of the requested keys from the first to the last. */
+  SortedMap<Integer, KeyRate> requestedKeys(int firstKey, int lastKey) {
+    return rates.subMap(firstKey, true, lastKey, true);
   }
 
-  /** What a node reports: counts by key, gathered until it does. */
+  /** Counts a node's requests by service and key between two reports. */
   public static final class Meter {
     private final Map<String, Map<Integer, Integer>> counts = new HashMap<>();
 
+    /** Counts a request. */
     public void asked(String service, int key) {
-      counts.computeIfAbsent(service, s -> new HashMap<>()).merge(key, 1, Integer::sum);
+      counts.computeIfAbsent(service, name -> new HashMap<>()).merge(key, 1, Integer::sum);
     }
 
-    /** Hands out what was counted since the last time. */
+    /** Returns the counts since the last call, and begins anew. */
     public Map<String, Map<Integer, Integer>> take() {
-      Map<String, Map<Integer, Integer>> out = new HashMap<>(counts);
+      Map<String, Map<Integer, Integer>> taken = new HashMap<>(counts);
       counts.clear();
-      return out;
+      return taken;
     }
   }
 }
--- a/src/main/java/org/otterpond/keyrange/KeyRangeLease.java
+++ b/src/main/java/org/otterpond/keyrange/KeyRangeLease.java
@@ -1,58 +1,93 @@
 package org.otterpond.keyrange;
 
-/** A range as its keeper knows it: what is written, and what may be on its way. */
+/**
+ * The lease of one key range as the manager knows it: what is durable in the table, and which calls
+ * may be in flight. Times are in microseconds.
+ */
 final class KeyRangeLease {
+  private static final long NEVER = Long.MIN_VALUE / 2;
+
   final String service;
-  int from;
+  final int firstKey;
   String owner;
   String address;
   long fence;
   KeyRangeState state;
 
-  /** The handover token of the last holder, for the next. */
-  String token;
+  /** The handover token of the previous owner for the next one, or null. */
+  String handoverToken;
 
+  /** Whether a write to the replicated table is in progress. */
   boolean writing;
 
   /** Calls to the owner that have not ended. */
-  int calls;
+  int openCalls;
 
-  long renewAt;
+  /** When the next call is due. */
+  long nextCallAt;
 
-  /** Until then the owner may hold the keys, if no call is open. */
-  long heldUntil;
+  /** Until then the owner may have the keys, if no call is open. */
+  long mayBeHeldUntil;
 
   /** When a call that got no answer was given up. */
-  long lostAt = Long.MIN_VALUE / 2;
+  long givenUpAt = NEVER;
+
+  /** When the range last changed its owner. */
+  long movedAt = NEVER;
 
-  long movedAt = Long.MIN_VALUE / 2;
-  long since;
+  KeyRangeLease(KeyRange range) {
+    service = range.service();
+    firstKey = range.from();
+    owner = range.owner();
+    address = range.address();
+    fence = range.fence();
+    state = range.state();
+  }
+
+  /** Returns the entry of the replicated table. */
+  KeyRange toKeyRange() {
+    return new KeyRange(service, firstKey, owner, address, fence, state);
+  }
+
+  /** Returns a lease that begins at a later key, with the same owner and history. */
+  KeyRangeLease startingAt(int key) {
+    KeyRangeLease later =
+        new KeyRangeLease(new KeyRange(service, key, owner, address, fence, state));
+    later.nextCallAt = nextCallAt;
+    later.mayBeHeldUntil = mayBeHeldUntil;
+    later.givenUpAt = givenUpAt;
+    later.movedAt = movedAt;
+    return later;
+  }
+
+  /** Returns whether neither a write nor a call is in progress. */
+  boolean isIdle() {
+    return !writing && openCalls == 0;
+  }
 
-  KeyRangeLease(KeyRange r) {
-    service = r.service();
-    from = r.from();
-    owner = r.owner();
-    address = r.address();
-    fence = r.fence();
-    state = r.state();
+  /** Returns whether its owner has the keys and nothing is in progress. */
+  boolean isHeldAndIdle() {
+    return state == KeyRangeState.HELD && isIdle();
   }
 
-  KeyRange range() {
-    return new KeyRange(service, from, owner, address, fence, state);
+  /** Returns whether a call that was given up may still arrive. */
+  boolean mayHaveCallInFlight(long nowMicros) {
+    return nowMicros - givenUpAt <= KeyRangeLeaseSettings.IN_FLIGHT_MICROS;
   }
 
-  /** Another that begins at a later key, with the same owner and the same past. */
-  KeyRangeLease from(int key) {
-    KeyRangeLease l = new KeyRangeLease(new KeyRange(service, key, owner, address, fence, state));
-    l.renewAt = renewAt;
-    l.heldUntil = heldUntil;
-    l.lostAt = lostAt;
-    l.movedAt = movedAt;
-    l.since = since;
-    return l;
+  /** Returns whether the owner cannot have the keys any more. */
+  boolean hasExpired(long nowMicros) {
+    return openCalls == 0 && nowMicros > mayBeHeldUntil;
   }
 
-  boolean quiet() {
-    return !writing && calls == 0;
+  /** Records another owner, which has not got a grant yet. */
+  void assignTo(KeyRangeRuntime.Worker worker, long newFence, String token, long nowMicros) {
+    owner = worker.instance();
+    address = worker.address();
+    fence = newFence;
+    handoverToken = token;
+    mayBeHeldUntil = 0;
+    givenUpAt = NEVER;
+    movedAt = nowMicros;
   }
 }
--- a/src/main/java/org/otterpond/keyrange/KeyRangeRuntime.java
+++ b/src/main/java/org/otterpond/keyrange/KeyRangeRuntime.java
@@ -2,29 +2,44 @@
 
 import java.util.List;
 import java.util.function.Consumer;
+import org.otterpond.protocol.Encodable;
 import org.otterpond.protocol.WireRecord;
 
-/** Everything the keeper of the key ranges may do to the world. */
+/**
+ * The effects of the key range manager: time, writes to the core, calls to workers. All calls and
+ * callbacks are made on the owner thread.
+ */
 public interface KeyRangeRuntime {
+  /** Returns the monotonic time in microseconds. */
   long now();
 
+  /** Runs a task on the owner thread after a delay in microseconds. */
   void after(long delayMicros, Runnable task);
 
   /**
-   * Writes to the core's group; the task runs once it is durable there. False if this node does not
-   * lead.
+   * Writes an entry to the replicated table of the core.
+   *
+   * @param durable run once the entry is durable on the whole group
+   * @return false if this node is not the primary
    */
   boolean assign(WireRecord entry, Runnable durable);
 
-  /** Whether this node leads and nobody else can. */
+  /** Encodes and writes a typed entry, as the other overload does. */
+  default boolean assign(Encodable entry, Runnable durable) {
+    return assign(entry.toWireRecord(), durable);
+  }
+
+  /** Returns whether this node is the primary and nobody else can be at this moment. */
   boolean authority();
 
-  /** From when on nothing that a primary before this one sent can arrive any more. */
+  /** Returns the time from which on no earlier primary has authority, in microseconds. */
   long successorFrom();
 
   /**
-   * Calls a worker; told its answer, or null, in which case {@code Answer.lost} says whether it may
-   * have arrived.
+   * Calls a worker.
+   *
+   * @param timeout how long the answer is waited for, in microseconds
+   * @param answer gets the answer, also if the call failed
    */
   void call(
       String address,
@@ -34,18 +49,27 @@
       long timeout,
       Consumer<Answer> answer);
 
-  /** The newest of what is known of a worker's life, or null. */
+  /** Returns what is known of a worker, or null. */
   Worker worker(String instance);
 
-  /** The workers of a service that are alive. */
+  /** Returns the workers of a service that are alive. */
   List<Worker> workers(String service);
 
-  /** A number in [0, bound). */
+  /** Returns a random number in [0, bound). */
   long random(long bound);
 
+  /** Logs one line of key=value pairs. */
   void event(String line);
 
-  /** A worker, as the register has it. */
+  /**
+   * A worker as the registry has it.
+   *
+   * @param instance identity of the worker's process
+   * @param slots how many requests it works on at a time
+   * @param inService whether it takes requests; false if it is draining
+   * @param alive whether its heartbeats arrive
+   * @param surelyOver whether its process has ended for certain
+   */
   record Worker(
       String instance,
       String address,
@@ -55,6 +79,12 @@
       boolean alive,
       boolean surelyOver) {}
 
-  /** The answer to a call; status 0 if there was none. */
+  /**
+   * The answer to a call.
+   *
+   * @param status HTTP status, 0 if there was no answer
+   * @param token handover token of the worker, or null
+   * @param mayHaveArrived whether the worker may have received the call
+   */
   record Answer(int status, String token, boolean mayHaveArrived) {}
 }
--- a/src/main/java/org/otterpond/keyrange/KeyRangeState.java
+++ b/src/main/java/org/otterpond/keyrange/KeyRangeState.java
@@ -1,13 +1,13 @@
 package org.otterpond.keyrange;
 
-/** What is under way with a range of keys. */
+/** The state of the lease of a key range. */
 public enum KeyRangeState {
-  /** The owner is written; its grant may not have arrived yet. */
+  /** The owner is durable on the core; its grant may not have arrived yet. */
   GRANTING,
-  /** The owner has the grant. */
+  /** The owner has answered the grant. */
   HELD,
-  /** The owner is asked to let go. */
+  /** The owner is asked to release the range. */
   RELEASING,
-  /** The owner is gone and did not let go: its hold has to run out. */
+  /** The owner is gone and has not released the range: its lease has to expire. */
   EXPIRING
 }
--- a/src/main/java/org/otterpond/keyrange/KeyRangeTable.java
+++ b/src/main/java/org/otterpond/keyrange/KeyRangeTable.java
@@ -5,33 +5,34 @@
 import java.util.TreeMap;
 import org.otterpond.protocol.WireRecord;
 
-/** The ranges of all services, as a node knows them. */
+/** The key ranges of all services as a node knows them. */
 public final class KeyRangeTable {
-  private final Map<String, TreeMap<Integer, KeyRange>> services = new HashMap<>();
+  private final Map<String, TreeMap<Integer, KeyRange>> rangesByService = new HashMap<>();
 
   /**
-   * Takes what was written under a key; the service whose ranges changed, or null if it is about
-   * none.
+   * Takes an entry of the replicated table.
+   *
+   * @return the service whose ranges changed, or null if the entry is not about a key range
    */
-  public String take(WireRecord entry) {
-    if (!entry.text("key").startsWith(KeyRange.PREFIX)) {
+  public String take(WireRecord encoded) {
+    if (!KeyRangeEntry.isKeyRange(encoded)) {
       return null;
     }
-    String service = entry.text("service");
-    TreeMap<Integer, KeyRange> ranges = services.computeIfAbsent(service, s -> new TreeMap<>());
-    if (entry.truth("gone")) {
-      ranges.remove((int) entry.number("from"));
+    KeyRangeEntry entry = KeyRangeEntry.decode(encoded);
+    TreeMap<Integer, KeyRange> ranges =
+        rangesByService.computeIfAbsent(entry.service(), service -> new TreeMap<>());
+    if (entry instanceof KeyRange range) {
+      ranges.put(range.from(), range);
     } else {
-      KeyRange r = KeyRange.of(entry);
-      ranges.put(r.from(), r);
+      ranges.remove(entry.from());
     }
-    return service;
+    return entry.service();
   }
 
-  /** The range in which a key lies, or null. */
+  /** Returns the range in which a key lies, or null if there is none. */
   public KeyRange at(String service, int key) {
-    TreeMap<Integer, KeyRange> ranges = services.get(service);
-    Map.Entry<Integer, KeyRange> e = ranges == null ? null : ranges.floorEntry(key);
-    return e == null ? null : e.getValue();
+    TreeMap<Integer, KeyRange> ranges = rangesByService.get(service);
+    Map.Entry<Integer, KeyRange> range = ranges == null ? null : ranges.floorEntry(key);
+    return range == null ? null : range.getValue();
   }
 }
--- a/src/main/java/org/otterpond/replication/MembershipMonitor.java
+++ b/src/main/java/org/otterpond/replication/MembershipMonitor.java
@@ -40,12 +40,7 @@
     private boolean stalledCandidate;
   }
 
-  /**
-   * Looks for failed secondaries and proposes their removal.
-   *
-   * @return whether all secondaries are healthy or only wait to be removed; false if a removal was
-   *     proposed
-   */
+  /** Looks for failed secondaries and proposes their removal, unless this node is isolated. */
   Outcome checkFollowers(long nowMicros) {
     Failures failures = findFailures(nowMicros);
     if (failures.secondaries.isEmpty() && !failures.stalledCandidate) {
--- a/src/main/java/org/otterpond/replication/ReplicaGroup.java
+++ b/src/main/java/org/otterpond/replication/ReplicaGroup.java
@@ -19,7 +19,7 @@
   private final ReplicaLogReplay logReplay;
   private ReplicaRole role = new NonMemberRole();
 
-  /** What the state machine was last told of {@link #serving}. */
+  /** The value of {@link #serving} that the state machine was last notified of. */
   private boolean reportedServing;
 
   /**
--- a/src/test/java/org/otterpond/simulation/KeyRangeOwnershipTest.java
+++ b/src/test/java/org/otterpond/simulation/KeyRangeOwnershipTest.java
@@ -11,30 +11,31 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** One owner a key, whoever crashes, wakes or moves meanwhile; looked at from outside. */
+/** A key has at most one owner under faults, as the workers see it; no key stays without one. */
 class KeyRangeOwnershipTest {
-  private static final long S = 1_000_000;
+  private static final long SECOND_MICROS = 1_000_000;
 
-  private static final class Divided {
+  /** A cluster whose workers own all keys of one partitioned service. */
+  private static final class PartitionedService {
     final SimulatedCluster fleet;
     final SimulatedWorkers workers;
 
-    Divided(long seed, int count) {
+    PartitionedService(long seed, int workerCount) {
       fleet = new SimulatedCluster(seed, 4, 4, 1);
       fleet.services = "[{\"name\":\"" + SimulatedWorkers.SERVICE + "\",\"partitioned\":true}]";
       workers = new SimulatedWorkers(fleet);
-      fleet.world.run(9 * S);
-      for (int i = 1; i <= count; i++) {
+      fleet.world.run(9 * SECOND_MICROS);
+      for (int i = 1; i <= workerCount; i++) {
         workers.add("k" + i + ":80");
       }
       fleet.change(() -> {});
-      fleet.world.run(6 * S);
+      fleet.world.run(6 * SECOND_MICROS);
       assertEquals(SimulatedWorkers.keys(), workers.held(), () -> fleet.tail());
       workers.requests();
-      fleet.world.run(S);
+      fleet.world.run(SECOND_MICROS);
     }
 
-    void settles() {
+    void assertSettles() {
       workers.hot = -1;
       fleet.world.heal();
       fleet.all.forEach(
@@ -42,101 +43,104 @@
             n.thaw();
             n.start();
           });
-      fleet.world.run(14 * S);
+      fleet.world.run(14 * SECOND_MICROS);
       assertEquals(List.of(), workers.broken, () -> fleet.tail());
-      // One range may be on its way from one to another at any moment; none stays so.
+      // At any moment a range may be moving; none does so for long.
       for (int i = 0; i < 20 && workers.held() < SimulatedWorkers.keys(); i++) {
         fleet.world.run(100_000);
       }
       assertEquals(SimulatedWorkers.keys(), workers.held(), () -> fleet.tail());
       int before = workers.misses;
       int served = workers.served;
-      fleet.world.run(2 * S);
+      fleet.world.run(2 * SECOND_MICROS);
       int missed = workers.misses - before;
       assertTrue(missed * 20 < workers.served - served, () -> missed + " missed\n" + fleet.tail());
     }
 
-    SimulatedWorkers.Worker any() {
-      List<SimulatedWorkers.Worker> up =
+    SimulatedWorkers.Worker randomWorker() {
+      List<SimulatedWorkers.Worker> inService =
           new ArrayList<>(
               workers.workers.values().stream().filter(w -> w.up && !w.draining).toList());
-      return up.get(fleet.world.random.nextInt(up.size()));
+      return inService.get(fleet.world.random.nextInt(inService.size()));
     }
   }
 
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16, 555})
-  void oneOwnerThroughCoincidingTroubles(long seed) {
-    Divided d = new Divided(seed, 5);
+  void givenCoincidingFaults_whenSettled_thenEveryKeyHadOneOwner(long seed) {
+    PartitionedService service = new PartitionedService(seed, 5);
     for (int i = 0; i < 5; i++) {
       for (int k = 0; k < 2; k++) {
-        trouble(d);
-        d.fleet.world.run(d.fleet.world.random.nextInt(700_000));
+        injectFault(service);
+        service.fleet.world.run(service.fleet.world.random.nextInt(700_000));
       }
-      d.fleet.world.run(S + d.fleet.world.random.nextInt(4_000_000));
-      d.fleet.world.heal();
-      d.fleet.all.forEach(
+      service.fleet.world.run(SECOND_MICROS + service.fleet.world.random.nextInt(4_000_000));
+      service.fleet.world.heal();
+      service.fleet.all.forEach(
           n -> {
             n.thaw();
             n.start();
           });
-      d.workers.hot =
-          d.fleet.world.random.nextInt(SimulatedWorkers.keys() - 4) * SimulatedWorkers.step();
-      d.fleet.world.run(2 * S);
+      service.workers.hot =
+          service.fleet.world.random.nextInt(SimulatedWorkers.keys() - 4) * SimulatedWorkers.step();
+      service.fleet.world.run(2 * SECOND_MICROS);
     }
-    d.settles();
+    service.assertSettles();
   }
 
-  private static void trouble(Divided d) {
-    SimulatedNode leader = d.fleet.leader();
-    SimulatedNode any = d.fleet.disks.get(d.fleet.world.random.nextInt(d.fleet.disks.size()));
-    SimulatedNode node = leader == null || d.fleet.world.random.nextBoolean() ? any : leader;
-    switch (d.fleet.world.random.nextInt(8)) {
+  private static void injectFault(PartitionedService service) {
+    SimulatedNode leader = service.fleet.leader();
+    SimulatedNode any =
+        service.fleet.disks.get(service.fleet.world.random.nextInt(service.fleet.disks.size()));
+    SimulatedNode node = leader == null || service.fleet.world.random.nextBoolean() ? any : leader;
+    switch (service.fleet.world.random.nextInt(8)) {
       case 0 -> node.kill();
       case 1 -> node.freeze();
-      case 2 -> d.fleet.world.cutOff(node.address);
+      case 2 -> service.fleet.world.cutOff(node.address);
       case 3 -> node.losePower();
-      case 4 -> d.workers.crash(d.any(), 300_000 + d.fleet.world.random.nextInt(3_000_000));
+      case 4 ->
+          service.workers.crash(
+              service.randomWorker(), 300_000 + service.fleet.world.random.nextInt(3_000_000));
       case 5 -> {
-        // The keeper and one worker do not reach each other.
-        d.fleet.world.cut(node.address, d.any().address);
+        // The primary and one worker do not reach each other.
+        service.fleet.world.cut(node.address, service.randomWorker().address);
       }
       case 6 -> {
-        SimulatedWorkers.Worker w = d.any();
+        SimulatedWorkers.Worker w = service.randomWorker();
         w.draining = true;
-        d.fleet.world.at(
-            3 * S,
+        service.fleet.world.at(
+            3 * SECOND_MICROS,
             () -> {
               w.up = false;
-              d.workers.add(w.address);
+              service.workers.add(w.address);
             });
       }
-      default -> d.workers.add("n" + d.workers.lives + ":80");
+      default -> service.workers.add("n" + service.workers.lives + ":80");
     }
   }
 
   @Test
-  void drainedWorkerHandsItsKeysOver() {
-    Divided d = new Divided(31, 4);
-    SimulatedWorkers.Worker w = d.any();
-    assertTrue(d.workers.keysHeldBy(w) > 8);
+  void givenWorkerWithKeys_whenDrained_thenItHandsAllKeysOver() {
+    PartitionedService service = new PartitionedService(31, 4);
+    SimulatedWorkers.Worker w = service.randomWorker();
+    assertTrue(service.workers.keysHeldBy(w) > 8);
     w.draining = true;
-    d.fleet.world.run(2 * S);
-    assertEquals(0, d.workers.keysHeldBy(w), () -> d.fleet.tail());
-    assertEquals(SimulatedWorkers.keys(), d.workers.held());
-    d.settles();
+    service.fleet.world.run(2 * SECOND_MICROS);
+    assertEquals(0, service.workers.keysHeldBy(w), () -> service.fleet.tail());
+    assertEquals(SimulatedWorkers.keys(), service.workers.held());
+    service.assertSettles();
   }
 
   @Test
-  void hotNeighboursArePulledApartAndColdKeysStay() {
-    Divided d = new Divided(32, 6);
+  void givenHotNeighbouringKeys_whenBalanced_thenTheyAreSpreadAndOthersStay() {
+    PartitionedService service = new PartitionedService(32, 6);
     SimulatedWorkers.Worker owner =
-        d.workers.workers.values().stream().filter(w -> w.holds(0)).findFirst().orElseThrow();
-    int before = d.workers.keysHeldBy(owner);
-    d.workers.hot = 0;
-    d.fleet.world.run(8 * S);
+        service.workers.workers.values().stream().filter(w -> w.holds(0)).findFirst().orElseThrow();
+    int before = service.workers.keysHeldBy(owner);
+    service.workers.hot = 0;
+    service.fleet.world.run(8 * SECOND_MICROS);
     long holders =
-        d.workers.workers.values().stream()
+        service.workers.workers.values().stream()
             .filter(
                 w ->
                     w.holds(0)
@@ -144,37 +148,37 @@
                         || w.holds(2 * SimulatedWorkers.step())
                         || w.holds(3 * SimulatedWorkers.step()))
             .count();
-    assertTrue(holders > 1, () -> "the hot keys are still together\n" + d.fleet.tail());
+    assertTrue(holders > 1, () -> "the hot keys still have one owner\n" + service.fleet.tail());
     assertTrue(
-        d.workers.keysHeldBy(owner) >= before - 5,
-        () -> "more moved than was hot\n" + d.fleet.tail());
-    d.settles();
+        service.workers.keysHeldBy(owner) >= before - 5,
+        () -> "more keys than the hot ones moved\n" + service.fleet.tail());
+    service.assertSettles();
   }
 
   @Test
-  void crashedWorkersKeysWaitOutTheLongestGrantUnlessAnotherLifeProvesTheEnd() {
-    Divided d = new Divided(33, 4);
-    SimulatedWorkers.Worker w = d.any();
+  void givenCrashedWorker_whenItsLeaseRuns_thenKeysWaitUntilAnotherProcessRegisters() {
+    PartitionedService service = new PartitionedService(33, 4);
+    SimulatedWorkers.Worker w = service.randomWorker();
     w.up = false;
-    int held = d.workers.held();
+    int held = service.workers.held();
     assertTrue(held < SimulatedWorkers.keys());
-    d.fleet.world.run(3 * S);
-    assertEquals(held, d.workers.held(), "nobody may have them yet");
-    d.workers.add(w.address);
-    d.fleet.world.run(2 * S);
-    // A range may be on its way from one to another at any one moment; none of the keys stays
-    // without an owner.
+    service.fleet.world.run(3 * SECOND_MICROS);
+    assertEquals(
+        held, service.workers.held(), "another worker owns keys whose lease has not expired");
+    service.workers.add(w.address);
+    service.fleet.world.run(2 * SECOND_MICROS);
+    // At any moment a range may be moving; no key stays without an owner.
     Set<Integer> owned = new HashSet<>();
     for (int i = 0; i < 6; i++) {
       for (int k = 0; k < SimulatedWorkers.keys(); k++) {
         int key = k * SimulatedWorkers.step();
-        if (d.workers.workers.values().stream().anyMatch(o -> o.holds(key))) {
+        if (service.workers.workers.values().stream().anyMatch(o -> o.holds(key))) {
           owned.add(key);
         }
       }
-      d.fleet.world.run(50_000);
+      service.fleet.world.run(50_000);
     }
-    assertEquals(SimulatedWorkers.keys(), owned.size(), () -> d.fleet.tail());
-    d.settles();
+    assertEquals(SimulatedWorkers.keys(), owned.size(), () -> service.fleet.tail());
+    service.assertSettles();
   }
 }
