--- a/src/main/java/org/otterpond/replication/ReplicaGroup.java
+++ b/src/main/java/org/otterpond/replication/ReplicaGroup.java
@@ -93,7 +93,7 @@
       return;
     }
     boolean wasMember = replica.isMember();
-    boolean continued = replica.isPrimary() && replica.isInVersion(installed.version() - 1);
+    final boolean continued = replica.isPrimary() && replica.isInVersion(installed.version() - 1);
     boolean isMember = installed.has(replica.member());
     if (previous == null && installed.version() == 1 && isMember) {
       replica.setComplete(true);
