--- a/src/main/java/org/otterpond/keyrange/KeyLoadReport.java
+++ b/src/main/java/org/otterpond/keyrange/KeyLoadReport.java
@@ -24,21 +24,35 @@
   private static final String WORK = "work";
   private static final String KEYS = "keys";
 
+  /** Creates a report of a service whose requests usually take the given time. */
+  public static KeyLoadReport of(
+      String service, double meanLatencyMicros, Map<Integer, Integer> requestsByKey) {
+    Map<Integer, Long> requests = new LinkedHashMap<>();
+    requestsByKey.forEach((key, count) -> requests.put(key, (long) count));
+    return new KeyLoadReport(service, meanLatencyMicros, requests);
+  }
+
   /**
    * Reads a report.
    *
-   * @throws ProtocolException if the service is missing
+   * @throws ProtocolException if the service is missing or a key or count is no number
    */
   public static KeyLoadReport of(WireRecord encoded) throws ProtocolException {
     Map<Integer, Long> requests = new LinkedHashMap<>();
     List<Object> flat = encoded.list(KEYS);
     for (int i = 0; i + 1 < flat.size(); i += 2) {
-      int key = ((Number) flat.get(i)).intValue();
-      requests.merge(key, ((Number) flat.get(i + 1)).longValue(), Long::sum);
+      requests.merge((int) number(flat.get(i)), number(flat.get(i + 1)), Long::sum);
     }
     return new KeyLoadReport(encoded.requiredText(SERVICE), workMicros(encoded), requests);
   }
 
+  private static long number(Object value) throws ProtocolException {
+    if (!(value instanceof Number number)) {
+      throw new ProtocolException("kind " + KIND + ": " + KEYS + " holds no number");
+    }
+    return number.longValue();
+  }
+
   private static Number workMicros(WireRecord encoded) {
     return encoded.fields().get(WORK) instanceof Number work ? work : 0L;
   }
--- a/src/main/java/org/otterpond/proxy/ProxyHandler.java
+++ b/src/main/java/org/otterpond/proxy/ProxyHandler.java
@@ -17,6 +17,7 @@
 import org.otterpond.control.primary.DataPlane;
 import org.otterpond.control.state.WorkerInstance;
 import org.otterpond.keyrange.KeyLoad;
+import org.otterpond.keyrange.KeyLoadReport;
 import org.otterpond.keyrange.KeyRangeRuntime;
 import org.otterpond.keyrange.KeyRangeTable;
 import org.otterpond.net.EventLoop;
--- a/src/test/java/org/otterpond/proxy/ProxyMessagesTest.java
+++ b/src/test/java/org/otterpond/proxy/ProxyMessagesTest.java
@@ -5,6 +5,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
+import org.otterpond.keyrange.KeyLoadReport;
 import org.otterpond.protocol.GoldenMessages;
 import org.otterpond.protocol.ProtocolException;
 import org.otterpond.protocol.WireRecord;
