--- a/src/main/java/org/otterpond/net/ClientConnection.java
+++ b/src/main/java/org/otterpond/net/ClientConnection.java
@@ -1,247 +1,263 @@
 package org.otterpond.net;
 
 import java.io.IOException;
-import java.net.StandardSocketOptions;
 import java.nio.ByteBuffer;
-import java.nio.channels.SelectionKey;
 import java.nio.channels.SocketChannel;
+import java.nio.charset.StandardCharsets;
 import org.otterpond.config.ClientLimits;
 
-/** One client's connection: reads a request, waits for its answer, writes it, goes on. */
-final class ClientConnection implements SelectionHandler {
-  private static final long LINGER = 1_000_000;
-  private static final int READ_AHEAD = 64 * 1024;
+/**
+ * The connection of a client. It serves one request at a time: the next one is parsed once the
+ * response has been given, so responses are in the order of the requests.
+ */
+final class ClientConnection implements SocketConnection.Listener {
+  private static final long LINGER_MICROS = 1_000_000;
+  private static final int MAX_READ_AHEAD_BYTES = 64 * 1024;
+  private static final int REQUEST_TIMEOUT = 408;
+  private static final String CLOSE = "close";
+  private static final String KEEP_ALIVE = "keep-alive";
+  private static final byte[] CONTINUE =
+      "HTTP/1.1 100 Continue\r\n\r\n".getBytes(StandardCharsets.US_ASCII);
 
   private final EventLoop eventLoop;
   private final RequestHandler handler;
-  private final HttpListener door;
-  private final SocketChannel channel;
-  private final SelectionKey key;
-  private final ReceiveBuffer in = new ReceiveBuffer();
-  private final SendBuffer out = new SendBuffer();
-  private final HttpMessageParser reader = new HttpMessageParser(in, true);
-
-  private ServerExchange call;
-  private boolean headCall;
-  private boolean closing;
-  private boolean draining;
-  private boolean ended;
+  private final HttpListener listener;
+  private final SocketConnection socket;
+  private final ReceiveBuffer input = new ReceiveBuffer();
+  private final HttpMessageParser parser = HttpMessageParser.ofRequests(input);
+
+  /** The request that is being served; null between requests. */
+  private ServerExchange exchange;
+
+  /** Whether no further request is read after the one that is being served. */
+  private boolean closeAfterResponse;
+
+  /** Whether input is discarded, as the last response has been given. */
+  private boolean discardingInput;
+
   private boolean inputEnded;
-  private boolean closed;
-  private long since;
-  private long firstByteAt;
+  private boolean outputEnded;
+  private long lastActivityMicros;
+  private long firstByteAtMicros;
 
   ClientConnection(
-      EventLoop eventLoop, RequestHandler handler, HttpListener door, SocketChannel channel)
+      EventLoop eventLoop, RequestHandler handler, HttpListener listener, SocketChannel channel)
       throws IOException {
     this.eventLoop = eventLoop;
     this.handler = handler;
-    this.door = door;
-    this.channel = channel;
-    channel.setOption(StandardSocketOptions.TCP_NODELAY, true);
-    this.key = eventLoop.moor(channel, SelectionKey.OP_READ, this);
-    this.since = EventLoop.now();
+    this.listener = listener;
+    this.socket = SocketConnection.accepted(eventLoop, channel, this);
+    this.lastActivityMicros = EventLoop.now();
   }
 
+  // ------------------------------------------------------------------------------ requests
+
   @Override
-  public void ready(SelectionKey k) {
-    try {
-      if (k.isWritable()) {
-        flush();
-      }
-      if (!closed && k.isValid() && k.isReadable()) {
-        fill();
-      }
-    } catch (IOException e) {
-      close();
+  public void received(ByteBuffer bytes) throws IOException {
+    if (discardingInput || !bytes.hasRemaining()) {
+      return;
+    }
+    if (!parser.hasBegun()) {
+      firstByteAtMicros = EventLoop.now();
+      lastActivityMicros = firstByteAtMicros;
+    }
+    input.put(bytes);
+    if (exchange == null) {
+      parse();
+    } else if (input.length() > MAX_READ_AHEAD_BYTES) {
+      socket.pauseReading();
     }
   }
 
-  private void fill() throws IOException {
-    ByteBuffer scratch = eventLoop.scratch();
-    int n = channel.read(scratch);
-    if (draining) {
-      if (n < 0) {
-        close();
-      }
-      return;
-    }
-    if (n < 0) {
-      inputEnded = true;
-      if (call == null && out.isEmpty()) {
-        close();
-      } else {
-        key.interestOps(key.interestOps() & ~SelectionKey.OP_READ);
-        if (call != null) {
-          // The client has shut its side; most have gone, so nothing more is read here.
-          call.gone();
-        }
-      }
+  @Override
+  public void endOfInput() {
+    if (discardingInput) {
+      close();
       return;
     }
-    if (n == 0) {
+    inputEnded = true;
+    if (exchange == null && socket.isFlushed()) {
+      close();
       return;
     }
-    if (!reader.begun()) {
-      firstByteAt = EventLoop.now();
-      since = firstByteAt;
-    }
-    scratch.flip();
-    in.put(scratch);
-    if (call == null) {
-      parse();
-    } else if (in.length() > READ_AHEAD) {
-      key.interestOps(key.interestOps() & ~SelectionKey.OP_READ);
+    socket.pauseReading();
+    if (exchange != null) {
+      // Only the input has ended, but most clients that end it are gone.
+      exchange.clientGone();
     }
   }
 
+  @Override
+  public void failed(IOException cause) {
+    close();
+  }
+
   private void parse() throws IOException {
-    if (call != null || closing || closed) {
+    if (exchange != null || closeAfterResponse || socket.isClosed()) {
       return;
     }
-    ClientLimits l = handler.limits();
-    reader.limits(l.maxHeaderBytes(), Math.min(l.maxBodyBytes(), door.bodyBound()));
-    HttpMessage m;
+    ClientLimits limits = handler.limits();
+    long maxBodyBytes = Math.min(limits.maxBodyBytes(), listener.maxBodyBytes());
+    parser.limits(limits.maxHeaderBytes(), maxBodyBytes);
+    HttpMessage request;
     try {
-      m = reader.next(false);
-      if (m == null && reader.takeExpectContinue()) {
-        out.add(
-            "HTTP/1.1 100 Continue\r\n\r\n".getBytes(java.nio.charset.StandardCharsets.US_ASCII));
-        flush();
-      }
+      request = parser.next(false);
     } catch (MalformedMessageException e) {
-      refuse(e.status(), e.getMessage());
+      reject(e.status(), e.getMessage());
       return;
     }
-    if (m == null) {
-      return;
+    if (request != null) {
+      serve(request);
+    } else if (parser.takeContinueExpected()) {
+      socket.enqueue(CONTINUE);
+      socket.flush();
     }
-    headCall = m.method().equals("HEAD");
-    closing = m.old() ? !m.holds("Connection", "keep-alive") : m.holds("Connection", "close");
-    call = new ServerExchange(m, firstByteAt, this);
-    handler.handle(call);
   }
 
-  private void refuse(int status, String cause) throws IOException {
-    closing = true;
-    draining = true;
-    out.add(SendBuffer.encode(GatewayResponses.problem(status, cause), true, "close"));
-    flush();
+  private void parseBuffered() {
+    try {
+      parse();
+    } catch (IOException e) {
+      close();
+    }
+  }
+
+  private void serve(HttpMessage request) {
+    closeAfterResponse =
+        request.isHttp10()
+            ? !request.hasToken("Connection", KEEP_ALIVE)
+            : request.hasToken("Connection", CLOSE);
+    exchange = new ServerExchange(request, firstByteAtMicros, this);
+    handler.handle(exchange);
+  }
+
+  /** Responds to what is not a request, and reads nothing more. */
+  private void reject(int status, String cause) throws IOException {
+    closeAfterResponse = true;
+    discardingInput = true;
+    HttpMessage response = GatewayResponses.problem(status, cause);
+    socket.enqueue(HttpMessageEncoder.encode(response, true, CLOSE));
+    socket.flush();
   }
 
-  void answer(ServerExchange of, HttpMessage response) {
-    if (closed || of != call) {
+  // ----------------------------------------------------------------------------- responses
+
+  /** Sends the response of an exchange; ignored unless it is the one being served. */
+  void respond(ServerExchange answered, HttpMessage response) {
+    if (socket.isClosed() || answered != exchange) {
       return;
     }
+    HttpMessage request = answered.request();
+    closeAfterResponse = closeAfterResponse || inputEnded || handler.leaving();
+    String keepAlive = request.isHttp10() ? KEEP_ALIVE : null;
+    String connection = closeAfterResponse ? CLOSE : keepAlive;
+    boolean withBody = !request.method().equals("HEAD");
     try {
-      boolean last = closing || inputEnded || handler.leaving();
-      closing = last;
-      boolean body = !headCall;
-      String connection = last ? "close" : of.request().old() ? "keep-alive" : null;
-      out.add(SendBuffer.encode(response, body, connection));
-      call = null;
-      since = EventLoop.now();
-      flush();
-      if (!closed && !closing) {
-        key.interestOps(key.interestOps() | SelectionKey.OP_READ);
-        if (in.hasData()) {
-          firstByteAt = since;
-          eventLoop.after(0, this::parseGuarded);
-        } else {
-          in.trim();
-        }
+      socket.enqueue(HttpMessageEncoder.encode(response, withBody, connection));
+      exchange = null;
+      lastActivityMicros = EventLoop.now();
+      socket.flush();
+      if (!socket.isClosed() && !closeAfterResponse) {
+        awaitNextRequest();
       }
     } catch (IOException e) {
       close();
     }
   }
 
-  private void parseGuarded() {
-    try {
-      parse();
-    } catch (IOException e) {
-      close();
+  private void awaitNextRequest() {
+    socket.resumeReading();
+    if (input.hasData()) {
+      firstByteAtMicros = lastActivityMicros;
+      eventLoop.after(0, this::parseBuffered);
+    } else {
+      input.trim();
     }
   }
 
-  private void flush() throws IOException {
-    boolean all = out.flush(channel, eventLoop.scratch());
-    if (!all) {
-      key.interestOps(key.interestOps() | SelectionKey.OP_WRITE);
-      return;
-    }
-    if ((key.interestOps() & SelectionKey.OP_WRITE) != 0) {
-      key.interestOps(key.interestOps() & ~SelectionKey.OP_WRITE);
-    }
-    if (closing && call == null && !ended) {
-      finish();
+  @Override
+  public void outputFlushed() throws IOException {
+    if (closeAfterResponse && exchange == null && !outputEnded) {
+      endOutput();
     }
   }
 
   /**
-   * Sends the end, then waits a little for the client's, so that unread bytes do not reset the
-   * answer away.
+   * Ends the output and waits a little for the end of the input: to close with unread input would
+   * reset the connection, and the client might lose the response.
    */
-  private void finish() throws IOException {
-    ended = true;
+  private void endOutput() throws IOException {
+    outputEnded = true;
     if (inputEnded) {
       close();
       return;
     }
-    draining = true;
-    channel.shutdownOutput();
-    key.interestOps(SelectionKey.OP_READ);
-    eventLoop.after(LINGER, this::close);
+    discardingInput = true;
+    socket.endOutput();
+    socket.resumeReading();
+    eventLoop.after(LINGER_MICROS, this::close);
   }
 
-  /** Whether it is between requests. */
-  boolean idle() {
-    return call == null && out.isEmpty() && !reader.begun();
+  // ----------------------------------------------------------------------------- life cycle
+
+  /** Whether it is between two requests. */
+  boolean isIdle() {
+    return !isBusy() && !parser.hasBegun();
   }
 
-  boolean busy() {
-    return call != null || !out.isEmpty();
+  /** Whether a request is being served or a response being written. */
+  boolean isBusy() {
+    return exchange != null || !socket.isFlushed();
   }
 
-  /** Time-outs, looked at now and then. */
-  void check(long now) {
-    if (closed || draining) {
+  /** Ends the connection if the client takes too long; called from time to time. */
+  void checkTimeouts(long nowMicros) {
+    if (socket.isClosed() || discardingInput || exchange != null) {
       return;
     }
-    ClientLimits l = handler.limits();
-    if (idle()) {
-      if (now - since > l.idleMicros()) {
-        close();
+    ClientLimits limits = handler.limits();
+    long elapsed = nowMicros - lastActivityMicros;
+    if (!socket.isFlushed()) {
+      if (elapsed > 2 * limits.idleMicros()) {
+        reset();
       }
-    } else if (call == null && out.isEmpty()) {
-      if (now - since > l.headerMicros() && !reader.inBody() || now - since > l.idleMicros()) {
-        try {
-          refuse(408, "the request was not whole in time");
-        } catch (IOException e) {
-          close();
-        }
+    } else if (!parser.hasBegun()) {
+      if (elapsed > limits.idleMicros()) {
+        close();
       }
-    } else if (call == null && now - since > 2 * l.idleMicros()) {
-      reset();
+    } else if (elapsed > limits.idleMicros()
+        || (elapsed > limits.headerMicros() && !parser.isInBody())) {
+      rejectSlowRequest();
     }
   }
 
-  /** Breaks off so that nobody takes what went out for a whole answer. */
+  private void rejectSlowRequest() {
+    try {
+      reject(REQUEST_TIMEOUT, "the request was not complete in time");
+    } catch (IOException e) {
+      close();
+    }
+  }
+
+  /** Resets the connection, so that a response cut off is not taken for a complete one. */
   void reset() {
-    SocketChannels.discard(channel);
-    close();
+    if (!socket.isClosed()) {
+      socket.reset();
+      handleClosed();
+    }
   }
 
   void close() {
-    if (closed) {
-      return;
+    if (!socket.isClosed()) {
+      socket.close();
+      handleClosed();
     }
-    closed = true;
-    key.cancel();
-    SocketChannels.close(channel);
-    door.left(this);
-    if (call != null) {
-      call.gone();
+  }
+
+  private void handleClosed() {
+    listener.remove(this);
+    if (exchange != null) {
+      exchange.clientGone();
     }
   }
 }
--- a/src/main/java/org/otterpond/net/EventLoop.java
+++ b/src/main/java/org/otterpond/net/EventLoop.java
@@ -16,103 +16,125 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The owner thread of everything in a node: sockets, timers and a queue of commands from other
- * threads.
+ * The owner thread of everything in a node: it serves sockets, timers and tasks from other threads.
+ * The thread that calls {@link #run} becomes the owner thread.
  */
 public final class EventLoop implements Executor, Runnable {
   private static final Logger LOG = LoggerFactory.getLogger(EventLoop.class);
+  private static final int IO_BUFFER_BYTES = 32 * 1024;
+  private static final long MAX_SELECT_MILLIS = 1_000;
+  private static final long MICROS_PER_MILLI = 1_000;
+  private static final long NANOS_PER_MICRO = 1_000;
 
   private final Selector selector;
-  private final Queue<Runnable> commands = new ConcurrentLinkedQueue<>();
-  private final AtomicBoolean woken = new AtomicBoolean();
+  private final Queue<Runnable> remoteTasks = new ConcurrentLinkedQueue<>();
+
+  /** Whether the selector has been woken up for the tasks in the queue. */
+  private final AtomicBoolean wakeupSent = new AtomicBoolean();
+
   private final PriorityQueue<Timer> timers = new PriorityQueue<>();
-  private final ArrayDeque<Runnable> soon = new ArrayDeque<>();
-  private final ByteBuffer scratch = ByteBuffer.allocateDirect(32 * 1024);
-  private long timerNumber;
+  private final ArrayDeque<Runnable> localTasks = new ArrayDeque<>();
+  private final ByteBuffer ioBuffer = ByteBuffer.allocateDirect(IO_BUFFER_BYTES);
+  private long timersCreated;
   private volatile boolean stopped;
   private Thread owner;
 
-  /** A timer that can be called off. */
+  /** A task that is run once at a time, unless it is cancelled before. */
   public static final class Timer implements Comparable<Timer> {
-    private final long at;
+    private final long dueAtMicros;
+
+    /** Timers that are due at the same time run in the order of their creation. */
     private final long number;
+
     private Runnable task;
 
-    Timer(long at, long number, Runnable task) {
-      this.at = at;
+    Timer(long dueAtMicros, long number, Runnable task) {
+      this.dueAtMicros = dueAtMicros;
       this.number = number;
       this.task = task;
     }
 
+    /** Cancels the timer; on the owner thread only. */
     public void cancel() {
       task = null;
     }
 
+    private void run() {
+      if (task != null) {
+        runLoggingFailure(task);
+      }
+    }
+
     @Override
-    public int compareTo(Timer o) {
-      int c = Long.compare(at, o.at);
-      return c != 0 ? c : Long.compare(number, o.number);
+    public int compareTo(Timer other) {
+      int byTime = Long.compare(dueAtMicros, other.dueAtMicros);
+      return byTime != 0 ? byTime : Long.compare(number, other.number);
     }
   }
 
+  /**
+   * Creates an event loop that does not run yet.
+   *
+   * @throws IOException if the operating system has no selector left
+   */
   public EventLoop() throws IOException {
     selector = Selector.open();
   }
 
-  /** Monotonic time in microseconds. */
+  /** Returns a monotonic time in microseconds. */
   public static long now() {
-    return System.nanoTime() / 1000;
+    return System.nanoTime() / NANOS_PER_MICRO;
   }
 
-  /** A buffer for one read or write on the owner thread. */
-  ByteBuffer scratch() {
-    scratch.clear();
-    return scratch;
+  /** Returns the empty buffer for one read or write on the owner thread. */
+  ByteBuffer ioBuffer() {
+    ioBuffer.clear();
+    return ioBuffer;
   }
 
-  public SelectionKey moor(SelectableChannel channel, int interest, SelectionHandler handler)
+  /** Registers a channel, which becomes non-blocking, with its first interest set. */
+  SelectionKey register(SelectableChannel channel, int interestOps, SelectionHandler handler)
       throws IOException {
     channel.configureBlocking(false);
-    return channel.register(selector, interest, handler);
+    return channel.register(selector, interestOps, handler);
   }
 
-  /** Runs on the owner thread, soon; from any thread. */
+  /** Runs a task on the owner thread, after the current one; may be called on any thread. */
   @Override
   public void execute(Runnable task) {
     if (Thread.currentThread() == owner) {
-      soon.add(task);
+      localTasks.add(task);
       return;
     }
-    commands.add(task);
-    if (woken.compareAndSet(false, true)) {
+    remoteTasks.add(task);
+    if (wakeupSent.compareAndSet(false, true)) {
       selector.wakeup();
     }
   }
 
-  /** On the owner thread only. */
+  /**
+   * Runs a task after a delay; called on the owner thread, or before it runs.
+   *
+   * @param micros the delay in microseconds; without one the task runs in the next round
+   */
   public Timer after(long micros, Runnable task) {
-    Timer t = new Timer(now() + Math.max(0, micros), ++timerNumber, task);
+    timersCreated++;
+    Timer timer = new Timer(now() + Math.max(0, micros), timersCreated, task);
     if (micros <= 0) {
-      soon.add(() -> run(t));
+      localTasks.add(timer::run);
     } else {
-      timers.add(t);
+      timers.add(timer);
     }
-    return t;
+    return timer;
   }
 
+  /** Ends the loop after the round that it is in; may be called on any thread. */
   public void stop() {
     stopped = true;
     selector.wakeup();
   }
 
-  private void run(Timer t) {
-    Runnable task = t.task;
-    if (task != null) {
-      guarded(task);
-    }
-  }
-
-  private static void guarded(Runnable task) {
+  private static void runLoggingFailure(Runnable task) {
     try {
       task.run();
     } catch (RuntimeException e) {
@@ -120,12 +142,13 @@
     }
   }
 
+  /** Serves until {@link #stop} is called. */
   @Override
   public void run() {
     owner = Thread.currentThread();
     while (!stopped) {
       try {
-        turn();
+        runOnce();
       } catch (IOException | RuntimeException e) {
         LOG.error("event=loop_failed", e);
       } catch (OutOfMemoryError e) {
@@ -134,39 +157,72 @@
     }
   }
 
-  private void turn() throws IOException {
-    if (!soon.isEmpty()) {
+  private void runOnce() throws IOException {
+    select();
+    wakeupSent.set(false);
+    handleReadyChannels();
+    runRemoteTasks();
+    runDueTimers();
+    runLocalTasks();
+  }
+
+  private void select() throws IOException {
+    if (!localTasks.isEmpty()) {
+      selector.selectNow();
+      return;
+    }
+    if (timers.isEmpty()) {
+      selector.select(MAX_SELECT_MILLIS);
+      return;
+    }
+    long waitMicros = timers.peek().dueAtMicros - now();
+    if (waitMicros <= 0) {
       selector.selectNow();
-    } else if (timers.isEmpty()) {
-      selector.select(1000);
     } else {
-      long wait = timers.peek().at - now();
-      if (wait <= 0) {
-        selector.selectNow();
-      } else {
-        selector.select(Math.max(1, (wait + 999) / 1000));
-      }
+      long roundedUp = (waitMicros + MICROS_PER_MILLI - 1) / MICROS_PER_MILLI;
+      selector.select(Math.max(1, roundedUp));
     }
-    woken.set(false);
-    Iterator<SelectionKey> it = selector.selectedKeys().iterator();
-    while (it.hasNext()) {
-      SelectionKey k = it.next();
-      it.remove();
-      if (k.isValid()) {
-        guarded(() -> ((SelectionHandler) k.attachment()).ready(k));
+  }
+
+  private void handleReadyChannels() {
+    Iterator<SelectionKey> ready = selector.selectedKeys().iterator();
+    while (ready.hasNext()) {
+      SelectionKey key = ready.next();
+      ready.remove();
+      if (key.isValid()) {
+        handleReadyChannel(key);
       }
     }
-    Runnable c;
-    while ((c = commands.poll()) != null) {
-      guarded(c);
+  }
+
+  private static void handleReadyChannel(SelectionKey key) {
+    try {
+      ((SelectionHandler) key.attachment()).ready(key);
+    } catch (RuntimeException e) {
+      LOG.error("event=task_failed", e);
+    }
+  }
+
+  private void runRemoteTasks() {
+    Runnable task = remoteTasks.poll();
+    while (task != null) {
+      runLoggingFailure(task);
+      task = remoteTasks.poll();
     }
+  }
+
+  private void runDueTimers() {
     long now = now();
-    while (!timers.isEmpty() && timers.peek().at <= now) {
-      run(timers.poll());
+    while (!timers.isEmpty() && timers.peek().dueAtMicros <= now) {
+      timers.poll().run();
     }
-    int n = soon.size();
-    for (int i = 0; i < n; i++) {
-      guarded(soon.poll());
+  }
+
+  /** Runs the tasks that are there now; those that they add run in the next round. */
+  private void runLocalTasks() {
+    int count = localTasks.size();
+    for (int i = 0; i < count; i++) {
+      runLoggingFailure(localTasks.poll());
     }
   }
 }
--- a/src/main/java/org/otterpond/net/HttpListener.java
+++ b/src/main/java/org/otterpond/net/HttpListener.java
@@ -12,98 +12,109 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** One listening point and the connections that came by it. */
+/** A listening address for clients, and their connections. */
 public final class HttpListener implements SelectionHandler {
   private static final Logger LOG = LoggerFactory.getLogger(HttpListener.class);
-  private static final long CHECK = 500_000;
+  private static final long TIMEOUT_CHECK_MICROS = 500_000;
+  private static final long ACCEPT_PAUSE_MICROS = 100_000;
   private static final int BACKLOG = 512;
+  private static final int MAX_ACCEPTS_PER_ROUND = 64;
 
   private final EventLoop eventLoop;
   private final RequestHandler handler;
   private final ServerSocketChannel server;
   private final SelectionKey key;
   private final int maxConnections;
-  private final long bodyBound;
+  private final long maxBodyBytes;
+
+  /** In the order in which they were accepted. */
   private final Set<ClientConnection> connections = new LinkedHashSet<>();
 
+  /**
+   * Begins to listen.
+   *
+   * @param maxConnections above this number the oldest idle connection is closed for a new one
+   * @param maxBodyBytes the longest body of a request, whatever the limits of the handler are
+   * @throws IOException if the address cannot be used
+   */
   public HttpListener(
       EventLoop eventLoop,
       RequestHandler handler,
-      InetSocketAddress at,
+      InetSocketAddress address,
       int maxConnections,
-      long bodyBound)
+      long maxBodyBytes)
       throws IOException {
     this.eventLoop = eventLoop;
     this.handler = handler;
     this.maxConnections = maxConnections;
-    this.bodyBound = bodyBound;
+    this.maxBodyBytes = maxBodyBytes;
     server = ServerSocketChannel.open();
     server.setOption(StandardSocketOptions.SO_REUSEADDR, true);
-    server.bind(at, BACKLOG);
-    key = eventLoop.moor(server, SelectionKey.OP_ACCEPT, this);
-    eventLoop.after(CHECK, this::check);
+    server.bind(address, BACKLOG);
+    key = eventLoop.register(server, SelectionKey.OP_ACCEPT, this);
+    eventLoop.after(TIMEOUT_CHECK_MICROS, this::checkTimeouts);
   }
 
-  long bodyBound() {
-    return bodyBound;
+  long maxBodyBytes() {
+    return maxBodyBytes;
   }
 
   @Override
-  public void ready(SelectionKey k) {
+  public void ready(SelectionKey selected) {
     try {
-      for (int i = 0; i < 64; i++) {
-        SocketChannel c = server.accept();
-        if (c == null) {
+      for (int i = 0; i < MAX_ACCEPTS_PER_ROUND; i++) {
+        SocketChannel channel = server.accept();
+        if (channel == null) {
           return;
         }
         if (connections.size() >= maxConnections) {
-          makeRoom();
+          closeOldestIdle();
         }
-        connections.add(new ClientConnection(eventLoop, handler, this, c));
+        connections.add(new ClientConnection(eventLoop, handler, this, channel));
       }
     } catch (IOException e) {
       LOG.warn("event=accept_failed cause=\"{}\"", e.getMessage());
       key.interestOps(0);
-      eventLoop.after(100_000, () -> key.interestOps(SelectionKey.OP_ACCEPT));
+      eventLoop.after(ACCEPT_PAUSE_MICROS, () -> key.interestOps(SelectionKey.OP_ACCEPT));
     }
   }
 
-  private void makeRoom() {
-    for (ClientConnection g : connections) {
-      if (g.idle()) {
-        g.close();
+  private void closeOldestIdle() {
+    for (ClientConnection connection : connections) {
+      if (connection.isIdle()) {
+        connection.close();
         return;
       }
     }
   }
 
-  private void check() {
+  private void checkTimeouts() {
     long now = EventLoop.now();
-    new ArrayList<>(connections).forEach(g -> g.check(now));
-    eventLoop.after(CHECK, this::check);
-  }
-
-  void left(ClientConnection g) {
-    connections.remove(g);
+    for (ClientConnection connection : new ArrayList<>(connections)) {
+      connection.checkTimeouts(now);
+    }
+    eventLoop.after(TIMEOUT_CHECK_MICROS, this::checkTimeouts);
   }
 
-  public int open() {
-    return connections.size();
+  void remove(ClientConnection connection) {
+    connections.remove(connection);
   }
 
+  /** Whether any request is being served or any response being written. */
   public boolean busy() {
-    for (ClientConnection g : connections) {
-      if (g.busy()) {
+    for (ClientConnection connection : connections) {
+      if (connection.isBusy()) {
         return true;
       }
     }
     return false;
   }
 
+  /** Closes the connections that are between two requests. */
   public void closeIdle() {
-    for (ClientConnection g : new ArrayList<>(connections)) {
-      if (g.idle()) {
-        g.close();
+    for (ClientConnection connection : new ArrayList<>(connections)) {
+      if (connection.isIdle()) {
+        connection.close();
       }
     }
   }
--- a/src/main/java/org/otterpond/net/PeerConnection.java
+++ b/src/main/java/org/otterpond/net/PeerConnection.java
@@ -2,210 +2,207 @@
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
-import java.net.StandardSocketOptions;
 import java.nio.ByteBuffer;
-import java.nio.channels.SelectionKey;
 import java.nio.channels.SocketChannel;
 import org.otterpond.protocol.ProtocolException;
-import org.otterpond.protocol.WireRecordCodec;
 
 /**
- * One connection to another node: frames of a length and CBOR, and empty frames by which a silent
- * peer is noticed long before the kernel would give it up.
+ * One connection to another node. Pings detect a peer that does not respond long before the kernel
+ * would give it up.
  */
-final class PeerConnection implements SelectionHandler {
-  private static final int PING = 0;
-  private static final int PONG = -1;
-  private static final int MAX_FRAME = 64 << 20;
-  private static final int MAX_PENDING = 48 << 20;
-  private static final long ASK_AFTER = 350_000;
-  private static final long DEAD_AFTER = 1_100_000;
-  private static final long IDLE_CLOSE = 60_000_000;
+final class PeerConnection implements SocketConnection.Listener {
+  private static final long MAX_PENDING_BYTES = 48L << 20;
+
+  /** After so long without a response the peer is pinged. */
+  private static final long PING_AFTER_MICROS = 350_000;
+
+  /** After so long without a response the connection is closed. */
+  private static final long RESPONSE_TIMEOUT_MICROS = 1_100_000;
+
+  private static final long IDLE_TIMEOUT_MICROS = 60_000_000;
 
   /**
-   * A long frame that is still arriving is answered so often: whoever sends it can tell a slow way
-   * from a dead end.
+   * A long frame that is still coming in is responded to this often, so that its sender can tell a
+   * slow path from a broken one.
    */
-  private static final long ARRIVING = 200_000;
+  private static final long PROGRESS_INTERVAL_MICROS = 200_000;
+
+  private static final byte[] NO_BODY = new byte[0];
 
   private final EventLoop eventLoop;
-  private final PeerTransport links;
-  private final SocketChannel channel;
-  private final SelectionKey key;
-  private final SendBuffer out = new SendBuffer();
-  private byte[] in = new byte[512];
-  private int filled;
-  private String peer;
-  long number;
+  private final PeerTransport transport;
+  private final SocketConnection socket;
+  private final PeerFrameBuffer input = new PeerFrameBuffer();
+  private String peerAddress;
+  private long number;
   private boolean connected;
-  private boolean closed;
-  private boolean flushDue;
-  private long heardAt;
-  private long waitingSince;
-  private long usedAt;
-  private boolean pinged;
-  private long arrivingSaid;
-
-  PeerConnection(EventLoop eventLoop, PeerTransport links, SocketChannel channel, String peer)
+  private boolean flushScheduled;
+  private long lastReceivedMicros;
+
+  /** Since when a response is awaited; 0 while none is. */
+  private long awaitingSinceMicros;
+
+  private long lastUsedMicros;
+  private boolean pingSent;
+  private long lastProgressMicros;
+
+  /** Takes over a connection that was accepted; its peer has yet to introduce itself. */
+  PeerConnection(EventLoop eventLoop, PeerTransport transport, SocketChannel accepted)
+      throws IOException {
+    this.eventLoop = eventLoop;
+    this.transport = transport;
+    this.socket = SocketConnection.accepted(eventLoop, accepted, this);
+    this.connected = true;
+    this.lastReceivedMicros = EventLoop.now();
+    this.lastUsedMicros = lastReceivedMicros;
+  }
+
+  /** Creates a connection to a peer; {@link #connect} begins to establish it. */
+  PeerConnection(EventLoop eventLoop, PeerTransport transport, String peerAddress)
       throws IOException {
     this.eventLoop = eventLoop;
-    this.links = links;
-    this.channel = channel;
-    this.peer = peer;
-    channel.setOption(StandardSocketOptions.TCP_NODELAY, true);
-    connected = peer == null;
-    key = eventLoop.moor(channel, connected ? SelectionKey.OP_READ : SelectionKey.OP_CONNECT, this);
-    heardAt = EventLoop.now();
-    usedAt = heardAt;
+    this.transport = transport;
+    this.peerAddress = peerAddress;
+    this.socket = SocketConnection.outgoing(eventLoop, this);
+    this.lastReceivedMicros = EventLoop.now();
+    this.lastUsedMicros = lastReceivedMicros;
   }
 
-  void connect(InetSocketAddress to) throws IOException {
-    waitingSince = EventLoop.now();
-    channel.connect(to);
+  void connect(InetSocketAddress address) throws IOException {
+    awaitingSinceMicros = EventLoop.now();
+    try {
+      socket.connect(address);
+    } catch (IOException | RuntimeException e) {
+      socket.close();
+      throw e;
+    }
   }
 
-  String peer() {
-    return peer;
+  /** Returns the internal address of the peer; null until it has introduced itself. */
+  String peerAddress() {
+    return peerAddress;
   }
 
-  void peer(String address) {
-    peer = address;
+  /** Returns the number of the connection, by which the transport names it. */
+  long number() {
+    return number;
   }
 
-  void send(byte[] body) {
-    if (closed || out.pending() > MAX_PENDING) {
+  /** Sets whose connection it is, and its number. */
+  void identify(String address, long connectionNumber) {
+    peerAddress = address;
+    number = connectionNumber;
+  }
+
+  /** Sends a message; it is lost if too much is pending. */
+  void send(byte[] message) {
+    if (socket.isClosed() || socket.pendingBytes() > MAX_PENDING_BYTES) {
       return;
     }
-    usedAt = EventLoop.now();
-    if (waitingSince == 0) {
-      waitingSince = usedAt;
+    lastUsedMicros = EventLoop.now();
+    if (awaitingSinceMicros == 0) {
+      awaitingSinceMicros = lastUsedMicros;
     }
-    frame(body.length, body);
+    sendFrame(message.length, message);
   }
 
-  private void frame(int length, byte[] body) {
-    out.add(ByteBuffer.allocate(4 + body.length).putInt(length).put(body).array());
-    if (!flushDue && connected) {
-      flushDue = true;
-      eventLoop.execute(this::flushGuarded);
+  private void sendFrame(int length, byte[] body) {
+    ByteBuffer frame = ByteBuffer.allocate(PeerFrameBuffer.LENGTH_BYTES + body.length);
+    socket.enqueue(frame.putInt(length).put(body).array());
+    if (!flushScheduled && connected) {
+      flushScheduled = true;
+      eventLoop.execute(this::flush);
     }
   }
 
-  private void flushGuarded() {
-    flushDue = false;
-    if (closed) {
+  private void flush() {
+    flushScheduled = false;
+    if (socket.isClosed()) {
       return;
     }
     try {
-      flush();
+      socket.flush();
     } catch (IOException e) {
       close(true);
     }
   }
 
-  private void flush() throws IOException {
-    out.flush(channel, key, eventLoop.scratch());
+  @Override
+  public void connected() throws IOException {
+    connected = true;
+    lastReceivedMicros = EventLoop.now();
+    awaitingSinceMicros = lastReceivedMicros;
+    socket.flush();
   }
 
   @Override
-  public void ready(SelectionKey k) {
+  public void received(ByteBuffer bytes) {
+    input.put(bytes);
+    lastReceivedMicros = EventLoop.now();
+    awaitingSinceMicros = 0;
+    pingSent = false;
     try {
-      if (k.isConnectable()) {
-        channel.finishConnect();
-        connected = true;
-        heardAt = EventLoop.now();
-        waitingSince = heardAt;
-        flush();
-        return;
-      }
-      if (k.isWritable()) {
-        flush();
-      }
-      if (k.isReadable()) {
-        read();
-      }
-    } catch (IOException | ProtocolException e) {
+      readFrames();
+    } catch (ProtocolException e) {
       close(true);
     }
   }
 
-  private void read() throws IOException, ProtocolException {
-    ByteBuffer scratch = eventLoop.scratch();
-    int n = channel.read(scratch);
-    if (n < 0) {
-      close(true);
-      return;
-    }
-    scratch.flip();
-    if (filled + n > in.length) {
-      byte[] wider = new byte[Math.max(in.length * 2, filled + n)];
-      System.arraycopy(in, 0, wider, 0, filled);
-      in = wider;
-    }
-    scratch.get(in, filled, n);
-    filled += n;
-    heardAt = EventLoop.now();
-    waitingSince = 0;
-    pinged = false;
-    int at = 0;
-    while (filled - at >= 4 && !closed) {
-      int length = ByteBuffer.wrap(in, at, 4).getInt();
-      if (length == PING) {
-        at += 4;
-        frame(PONG, HttpMessage.EMPTY);
-        continue;
-      }
-      if (length == PONG) {
-        at += 4;
-        continue;
-      }
-      if (length < 0 || length > MAX_FRAME) {
-        throw new ProtocolException("frame of " + length + " bytes", null);
-      }
-      if (filled - at - 4 < length) {
-        arriving();
+  private void readFrames() throws ProtocolException {
+    while (input.hasLength() && !socket.isClosed()) {
+      int length = input.length();
+      if (length == PeerFrameBuffer.PING) {
+        input.skipLength();
+        sendFrame(PeerFrameBuffer.PONG, NO_BODY);
+      } else if (length == PeerFrameBuffer.PONG) {
+        input.skipLength();
+      } else if (input.hasFrame(length)) {
+        lastUsedMicros = lastReceivedMicros;
+        transport.received(this, input.take(length));
+      } else {
+        reportProgress();
         break;
       }
-      usedAt = heardAt;
-      links.received(this, WireRecordCodec.decode(in, at + 4, length));
-      at += 4 + length;
-    }
-    System.arraycopy(in, at, in, 0, filled - at);
-    filled -= at;
-    if (filled == 0 && in.length > 64 * 1024) {
-      in = new byte[512];
     }
+    input.compact();
   }
 
-  private void arriving() {
-    if (heardAt - arrivingSaid >= ARRIVING) {
-      arrivingSaid = heardAt;
-      frame(PONG, HttpMessage.EMPTY);
+  private void reportProgress() {
+    if (lastReceivedMicros - lastProgressMicros >= PROGRESS_INTERVAL_MICROS) {
+      lastProgressMicros = lastReceivedMicros;
+      sendFrame(PeerFrameBuffer.PONG, NO_BODY);
     }
   }
 
-  void check(long now) {
-    if (waitingSince != 0 && now - waitingSince > DEAD_AFTER) {
+  @Override
+  public void endOfInput() {
+    close(true);
+  }
+
+  @Override
+  public void failed(IOException cause) {
+    close(true);
+  }
+
+  /** Pings a silent peer and closes a dead or unused connection; called from time to time. */
+  void checkTimeouts(long nowMicros) {
+    boolean awaiting = awaitingSinceMicros != 0;
+    long awaitedMicros = nowMicros - awaitingSinceMicros;
+    if (awaiting && awaitedMicros > RESPONSE_TIMEOUT_MICROS) {
       close(false);
-    } else if (connected && waitingSince != 0 && !pinged && now - waitingSince > ASK_AFTER) {
-      pinged = true;
-      frame(PING, HttpMessage.EMPTY);
-    } else if (now - usedAt > IDLE_CLOSE) {
+    } else if (awaiting && connected && !pingSent && awaitedMicros > PING_AFTER_MICROS) {
+      pingSent = true;
+      sendFrame(PeerFrameBuffer.PING, NO_BODY);
+    } else if (nowMicros - lastUsedMicros > IDLE_TIMEOUT_MICROS) {
       close(false);
     }
   }
 
   private void close(boolean byPeer) {
-    if (closed) {
+    if (socket.isClosed()) {
       return;
     }
-    closed = true;
-    key.cancel();
-    try {
-      channel.close();
-    } catch (IOException e) {
-      // Nothing is left to be done for it.
-    }
-    links.broken(this, !connected, connected && byPeer);
+    socket.close();
+    transport.closed(this, !connected, connected && byPeer);
   }
 }
--- a/src/main/java/org/otterpond/net/RecentRequestIds.java
+++ b/src/main/java/org/otterpond/net/RecentRequestIds.java
@@ -1,28 +1,28 @@
 package org.otterpond.net;
 
 /**
- * The last few requests that a connection carried, by their ids. A worker may answer a request a
- * second time, later, and a request that comes back under its id would take that answer for its
- * own.
+ * The ids of the last requests that a connection carried. A worker may respond to a request a
+ * second time, later; a request sent again under its id would take that response for its own.
  */
 final class RecentRequestIds {
-  private static final int KEPT = 32;
+  private static final int CAPACITY = 32;
 
-  private final int[] hashes = new int[KEPT];
-  private int count;
+  private final int[] hashes = new int[CAPACITY];
+  private int added;
 
   void add(String id) {
     if (id != null) {
-      hashes[count++ % KEPT] = id.hashCode();
+      hashes[added % CAPACITY] = id.hashCode();
+      added++;
     }
   }
 
-  /** Whether it may be among them: two ids of one hash cost a connection, never an answer. */
-  boolean mayHold(String id) {
+  /** Whether the id may be among them. Two ids of one hash cost a connection, never a response. */
+  boolean mayContain(String id) {
     if (id == null) {
       return false;
     }
-    for (int i = 0; i < Math.min(count, KEPT); i++) {
+    for (int i = 0; i < Math.min(added, CAPACITY); i++) {
       if (hashes[i] == id.hashCode()) {
         return true;
       }
--- a/src/main/java/org/otterpond/net/RequestHandler.java
+++ b/src/main/java/org/otterpond/net/RequestHandler.java
@@ -2,15 +2,17 @@
 
 import org.otterpond.config.ClientLimits;
 
-/** Serves the calls of one listening point. */
+/** Serves the requests of one listening address, on the owner thread. */
 public interface RequestHandler {
-  void handle(ServerExchange call);
+  /** Serves a request; it has to be responded to or aborted, now or later. */
+  void handle(ServerExchange exchange);
 
+  /** Returns the limits for clients as they are now. */
   default ClientLimits limits() {
     return ClientLimits.standard();
   }
 
-  /** Whether answers should ask clients to go elsewhere. */
+  /** Whether the node is shutting down, so that each response should end its connection. */
   default boolean leaving() {
     return false;
   }
--- a/src/main/java/org/otterpond/net/ResponseListener.java
+++ b/src/main/java/org/otterpond/net/ResponseListener.java
@@ -1,12 +1,16 @@
 package org.otterpond.net;
 
-/** Told how a request to a worker went. Exactly one of the two is called. */
+/** Gets the outcome of a request to a worker. Exactly one of the two methods is called, once. */
 public interface ResponseListener {
+  /** The worker sent a complete response. */
   void answered(HttpMessage response);
 
   /**
-   * The worker gave no whole answer; {@code written} says whether any byte of the request may have
-   * reached it.
+   * The worker sent no complete response.
+   *
+   * @param written whether any byte of the request may have reached the worker; if not, it never
+   *     will ({@link RequestProgress})
+   * @param why the reason, for logs
    */
   void failed(boolean written, String why);
 }
--- a/src/main/java/org/otterpond/net/SendBuffer.java
+++ b/src/main/java/org/otterpond/net/SendBuffer.java
@@ -2,21 +2,19 @@
 
 import java.io.IOException;
 import java.nio.ByteBuffer;
-import java.nio.channels.SelectionKey;
 import java.nio.channels.SocketChannel;
-import java.nio.charset.StandardCharsets;
 import java.util.ArrayDeque;
-import org.apache.hc.core5.http.Header;
-import org.apache.hc.core5.http.impl.EnglishReasonPhraseCatalog;
 
-/** Bytes on their way out of one connection. */
+/** The output of one connection that the kernel has not taken yet. */
 final class SendBuffer {
   private final ArrayDeque<ByteBuffer> queue = new ArrayDeque<>();
-  private long written;
+  private long addedBytes;
+  private long writtenBytes;
 
   void add(byte[] bytes) {
     if (bytes.length > 0) {
       queue.add(ByteBuffer.wrap(bytes));
+      addedBytes += bytes.length;
     }
   }
 
@@ -24,102 +22,57 @@
     return queue.isEmpty();
   }
 
-  long written() {
-    return written;
+  /** Returns how many bytes the kernel has taken so far. */
+  long writtenBytes() {
+    return writtenBytes;
   }
 
-  int pending() {
-    int n = 0;
-    for (ByteBuffer b : queue) {
-      n += b.remaining();
-    }
-    return n;
+  /** Returns how many bytes wait. */
+  long pendingBytes() {
+    return addedBytes - writtenBytes;
   }
 
-  /** Writes what the socket takes; true if all of it went. */
-  boolean flush(SocketChannel channel, ByteBuffer scratch) throws IOException {
+  /**
+   * Writes what the kernel takes.
+   *
+   * @param ioBuffer through which the bytes are copied out of the heap
+   * @return whether nothing is left
+   */
+  boolean flush(SocketChannel channel, ByteBuffer ioBuffer) throws IOException {
     while (!queue.isEmpty()) {
-      scratch.clear();
-      for (ByteBuffer b : queue) {
-        int n = Math.min(b.remaining(), scratch.remaining());
-        scratch.put(b.array(), b.arrayOffset() + b.position(), n);
-        if (!scratch.hasRemaining()) {
-          break;
-        }
-      }
-      scratch.flip();
-      int n = channel.write(scratch);
-      written += n;
-      boolean all = !scratch.hasRemaining();
-      int left = n;
-      while (left > 0) {
-        ByteBuffer b = queue.peek();
-        int k = Math.min(left, b.remaining());
-        b.position(b.position() + k);
-        left -= k;
-        if (!b.hasRemaining()) {
-          queue.poll();
-        }
-      }
-      if (!all) {
+      fill(ioBuffer);
+      int count = channel.write(ioBuffer);
+      writtenBytes += count;
+      remove(count);
+      if (ioBuffer.hasRemaining()) {
         return false;
       }
     }
     return true;
   }
 
-  /**
-   * The same for a connection that is always read: it waits to write on only while something is
-   * left.
-   */
-  void flush(SocketChannel channel, SelectionKey key, ByteBuffer scratch) throws IOException {
-    int want = SelectionKey.OP_READ | (flush(channel, scratch) ? 0 : SelectionKey.OP_WRITE);
-    if (key.interestOps() != want) {
-      key.interestOps(want);
+  private void fill(ByteBuffer ioBuffer) {
+    ioBuffer.clear();
+    for (ByteBuffer next : queue) {
+      int count = Math.min(next.remaining(), ioBuffer.remaining());
+      ioBuffer.put(next.array(), next.arrayOffset() + next.position(), count);
+      if (!ioBuffer.hasRemaining()) {
+        break;
+      }
     }
+    ioBuffer.flip();
   }
 
-  /**
-   * Head and body as one run of bytes; the body's length is said here, whatever the headers hold.
-   */
-  static byte[] encode(HttpMessage m, boolean withBody, String connection) {
-    StringBuilder s = new StringBuilder(256);
-    if (m.method() != null) {
-      s.append(m.method()).append(' ').append(m.target()).append(" HTTP/1.1\r\n");
-    } else {
-      String reason = EnglishReasonPhraseCatalog.INSTANCE.getReason(m.status(), null);
-      s.append("HTTP/1.1 ")
-          .append(m.status())
-          .append(' ')
-          .append(reason == null ? "-" : reason)
-          .append("\r\n");
-    }
-    for (Header h : m.headers().getHeaders()) {
-      s.append(h.getName())
-          .append(": ")
-          .append(h.getValue() == null ? "" : h.getValue())
-          .append("\r\n");
-    }
-    if (connection != null) {
-      s.append("Connection: ").append(connection).append("\r\n");
-    }
-    boolean says =
-        m.status() != 204
-            && m.status() != 304
-            && (m.method() == null
-                || m.body().length > 0
-                || !(m.method().equals("GET") || m.method().equals("HEAD")));
-    if (says && m.headers().getFirstHeader("Content-Length") == null) {
-      s.append("Content-Length: ").append(m.body().length).append("\r\n");
-    }
-    s.append("\r\n");
-    byte[] head = s.toString().getBytes(StandardCharsets.ISO_8859_1);
-    if (!withBody || m.body().length == 0) {
-      return head;
+  private void remove(int count) {
+    int left = count;
+    while (left > 0) {
+      ByteBuffer first = queue.peek();
+      int taken = Math.min(left, first.remaining());
+      first.position(first.position() + taken);
+      left -= taken;
+      if (!first.hasRemaining()) {
+        queue.poll();
+      }
     }
-    byte[] all = new byte[head.length + m.body().length];
-    System.arraycopy(head, 0, all, 0, head.length);
-    System.arraycopy(m.body(), 0, all, head.length, m.body().length);
-    return all;
   }
 }
--- a/src/main/java/org/otterpond/net/ServerExchange.java
+++ b/src/main/java/org/otterpond/net/ServerExchange.java
@@ -1,40 +1,43 @@
 package org.otterpond.net;
 
-/** One request of a client, whole, with the way back to it. Answered exactly once. */
+/** A complete request of a client, and the way to respond to it, which can be used once. */
 public final class ServerExchange {
   private final HttpMessage request;
-  private final long receivedAt;
+  private final long receivedAtMicros;
   private final ClientConnection connection;
   private boolean answered;
-  private Runnable gone;
+  private Runnable clientGoneTask;
 
-  ServerExchange(HttpMessage request, long receivedAt, ClientConnection connection) {
+  ServerExchange(HttpMessage request, long receivedAtMicros, ClientConnection connection) {
     this.request = request;
-    this.receivedAt = receivedAt;
+    this.receivedAtMicros = receivedAtMicros;
     this.connection = connection;
   }
 
+  /** Returns the request. */
   public HttpMessage request() {
     return request;
   }
 
-  /** When its first byte was seen. */
+  /** Returns when the first byte of the request came in, in the time of {@link EventLoop#now}. */
   public long receivedAt() {
-    return receivedAt;
+    return receivedAtMicros;
   }
 
+  /** Whether the request has been responded to or aborted. */
   public boolean answered() {
     return answered;
   }
 
+  /** Sends the response; ignored if there was one already or the client is gone. */
   public void answer(HttpMessage response) {
     if (!answered) {
       answered = true;
-      connection.answer(this, response);
+      connection.respond(this, response);
     }
   }
 
-  /** Ends the connection without an answer; promises nothing. */
+  /** Resets the connection without a response, which leaves the outcome unknown to the client. */
   public void abort() {
     if (!answered) {
       answered = true;
@@ -42,13 +45,14 @@
     }
   }
 
+  /** Sets what is run if the client ends its connection before it has a response. */
   public void whenGone(Runnable task) {
-    gone = task;
+    clientGoneTask = task;
   }
 
-  void gone() {
-    if (!answered && gone != null) {
-      gone.run();
+  void clientGone() {
+    if (!answered && clientGoneTask != null) {
+      clientGoneTask.run();
     }
   }
 }
--- a/src/main/java/org/otterpond/net/WorkerConnection.java
+++ b/src/main/java/org/otterpond/net/WorkerConnection.java
@@ -2,222 +2,215 @@
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
-import java.net.StandardSocketOptions;
 import java.nio.ByteBuffer;
-import java.nio.channels.SelectionKey;
-import java.nio.channels.SocketChannel;
 
-/** One connection to a worker; carries one request at a time. */
-public final class WorkerConnection implements SelectionHandler {
-  private static final int MAX_ANSWER_HEAD = 64 * 1024;
+/** One connection to a worker; it carries one request at a time. */
+public final class WorkerConnection implements SocketConnection.Listener {
+  private static final int MAX_RESPONSE_HEADER_BYTES = 64 * 1024;
 
-  private final EventLoop eventLoop;
   private final WorkerConnectionPool pool;
-  private final SocketChannel channel;
-  private final SelectionKey key;
-  private final ReceiveBuffer in = new ReceiveBuffer();
-  private final SendBuffer out = new SendBuffer();
-  private final HttpMessageParser reader = new HttpMessageParser(in, false);
+  private final SocketConnection socket;
+  private final ReceiveBuffer input = new ReceiveBuffer();
+  private final HttpMessageParser parser = HttpMessageParser.ofResponses(input);
+  private final RecentRequestIds carriedIds = new RecentRequestIds();
+  private final EventLoop.Timer connectTimer;
+  private final long connectDeadlineMicros;
 
   private boolean connected;
   private boolean closed;
+
+  /** Gets the outcome of the request in flight; null while there is none. */
   private ResponseListener listener;
 
-  /** What the answer must bring back of the request in hand. */
-  private String echo;
+  /** The id that the response to the request in flight must carry; null if there is none. */
+  private String expectedId;
+
+  /** What the kernel had taken before the request in flight. */
+  private long writtenBeforeRequest;
+
+  /** Whether anything has come in since the request in flight was begun. */
+  private boolean responseStarted;
 
-  private final RecentRequestIds carried = new RecentRequestIds();
-  private EventLoop.Timer connectTimer;
-  private long connectBy;
-  private long usableUntil;
-  private long idleSince;
-  private long writtenBefore;
+  private long idleSinceMicros;
+  private long reusableUntilMicros;
 
+  /**
+   * Begins to establish a connection.
+   *
+   * @throws IOException if that is rejected at once
+   */
   WorkerConnection(
-      EventLoop eventLoop, WorkerConnectionPool pool, InetSocketAddress to, long connectMicros)
+      EventLoop eventLoop, WorkerConnectionPool pool, InetSocketAddress address, long connectMicros)
       throws IOException {
-    this.eventLoop = eventLoop;
     this.pool = pool;
-    channel = SocketChannel.open();
-    channel.setOption(StandardSocketOptions.TCP_NODELAY, true);
-    key = eventLoop.moor(channel, SelectionKey.OP_CONNECT, this);
-    reader.limits(MAX_ANSWER_HEAD, pool.answerBound());
+    socket = SocketConnection.outgoing(eventLoop, this);
+    parser.limits(MAX_RESPONSE_HEADER_BYTES, pool.maxResponseBytes());
     try {
-      channel.connect(to);
+      socket.connect(address);
     } catch (IOException | RuntimeException e) {
-      key.cancel();
-      channel.close();
-      throw new IOException("connect", e);
+      socket.close();
+      throw new IOException("cannot connect to " + address, e);
+    }
+    connectDeadlineMicros = EventLoop.now() + connectMicros;
+    connectTimer = eventLoop.after(connectMicros, this::connectTimedOut);
+  }
+
+  private void connectTimedOut() {
+    if (!connected) {
+      close(CloseReason.CONNECT_TIMEOUT);
     }
-    connectBy = EventLoop.now() + connectMicros;
-    connectTimer =
-        eventLoop.after(
-            connectMicros,
-            () -> {
-              if (!connected) {
-                close("connect_timeout");
-              }
-            });
   }
 
   /**
-   * Whether an idle connection can carry another request: nothing came, and it is not about to be
-   * closed.
+   * Whether the idle connection can carry a request: nothing came in and it is not to be closed.
    */
-  boolean usable(long now) {
-    if (closed || now >= usableUntil) {
-      return false;
-    }
-    try {
-      return channel.read(eventLoop.scratch()) == 0;
-    } catch (IOException e) {
-      return false;
-    }
+  boolean isReusable(long nowMicros) {
+    return !closed && nowMicros < reusableUntilMicros && socket.isOpenAndSilent();
   }
 
-  /** Whether it carried a request of this id before, whose second answer might come late. */
+  /** Whether it may have carried a request of this id, whose second response might come late. */
   boolean mayHaveCarried(String id) {
-    return carried.mayHold(id);
+    return carriedIds.mayContain(id);
   }
 
-  long idleSince() {
-    return idleSince;
+  long idleSinceMicros() {
+    return idleSinceMicros;
   }
 
-  long usableUntil() {
-    return usableUntil;
+  long reusableUntilMicros() {
+    return reusableUntilMicros;
   }
 
-  void send(HttpMessage request, ResponseListener r) {
-    listener = r;
-    echo = request.first(pool.echoed());
-    carried.add(echo);
-    writtenBefore = out.written();
-    reader.expect(request.method().equals("HEAD"));
-    out.add(SendBuffer.encode(request, true, null));
+  void send(HttpMessage request, ResponseListener responseListener) {
+    listener = responseListener;
+    expectedId = request.first(pool.idHeader());
+    carriedIds.add(expectedId);
+    writtenBeforeRequest = socket.writtenBytes();
+    responseStarted = false;
+    parser.responseToHead(request.method().equals("HEAD"));
+    socket.enqueue(HttpMessageEncoder.encode(request, true, null));
     if (connected) {
       try {
-        flush();
+        socket.flush();
       } catch (IOException e) {
-        close("write_failed");
+        close(CloseReason.WRITE_FAILED);
       }
     }
   }
 
-  private void flush() throws IOException {
-    out.flush(channel, key, eventLoop.scratch());
+  @Override
+  public void connected() throws IOException {
+    if (EventLoop.now() > connectDeadlineMicros) {
+      // This process was suspended meanwhile; other nodes may have given up on its requests.
+      close(CloseReason.CONNECT_TIMEOUT);
+      return;
+    }
+    connected = true;
+    connectTimer.cancel();
+    socket.flush();
   }
 
   @Override
-  public void ready(SelectionKey k) {
-    try {
-      if (k.isConnectable()) {
-        channel.finishConnect();
-        if (EventLoop.now() > connectBy) {
-          // This process stood still meanwhile: what is sent now may have been given up elsewhere.
-          close("connect_timeout");
-          return;
-        }
-        connected = true;
-        connectTimer.cancel();
-        flush();
-        return;
-      }
-      if (k.isWritable()) {
-        flush();
-      }
-      if (k.isReadable()) {
-        read();
-      }
-    } catch (IOException e) {
-      close(e instanceof MalformedMessageException ? "garbled" : connected ? "reset" : "refused");
+  public void received(ByteBuffer bytes) throws IOException {
+    responseStarted |= bytes.hasRemaining();
+    input.put(bytes);
+    advance(false);
+  }
+
+  @Override
+  public void endOfInput() throws IOException {
+    advance(true);
+  }
+
+  @Override
+  public void failed(IOException cause) {
+    if (cause instanceof MalformedMessageException) {
+      close(CloseReason.MALFORMED_RESPONSE);
+    } else {
+      close(connected ? CloseReason.RESET : CloseReason.REFUSED);
     }
   }
 
-  private void read() throws IOException {
-    ByteBuffer scratch = eventLoop.scratch();
-    int n = channel.read(scratch);
+  private void advance(boolean inputEnded) throws IOException {
     if (listener == null) {
-      // An idle connection has nothing to say but that it ends.
-      close("idle_end");
+      close(CloseReason.IDLE_INPUT);
       return;
     }
-    if (n > 0) {
-      scratch.flip();
-      in.put(scratch);
-    }
-    HttpMessage answer = reader.next(n < 0);
-    if (answer == null) {
-      if (n < 0) {
-        close("ended_early");
+    HttpMessage response = parser.next(inputEnded);
+    if (response == null) {
+      if (inputEnded) {
+        close(CloseReason.ENDED_EARLY);
       }
       return;
     }
-    if (!answer.carries(pool.echoed(), echo)) {
-      // An answer to something asked before, or to nobody: this connection can be believed no more.
-      close("foreign_answer");
+    if (!response.hasOnly(pool.idHeader(), expectedId)) {
+      // It answers an earlier request, or none: nothing on this connection can be trusted any more.
+      close(CloseReason.RESPONSE_TO_OTHER_REQUEST);
       return;
     }
-    ResponseListener r = listener;
+    ResponseListener responseListener = listener;
     listener = null;
-    boolean keep =
-        n >= 0
-            && !answer.old()
-            && !answer.holds("Connection", "close")
-            && !in.hasData()
-            && out.isEmpty();
-    if (keep) {
-      in.trim();
-      idleSince = EventLoop.now();
-      usableUntil = idleSince + pool.idleSpan(answer);
-      pool.free(this);
+    if (inputEnded || !allowsReuse(response)) {
+      close(CloseReason.NOT_REUSABLE);
     } else {
-      close("done");
+      becomeIdle(response);
     }
-    r.answered(answer);
+    responseListener.answered(response);
+  }
+
+  private boolean allowsReuse(HttpMessage response) {
+    return !response.isHttp10()
+        && !response.hasToken("Connection", "close")
+        && !input.hasData()
+        && socket.isFlushed();
+  }
+
+  private void becomeIdle(HttpMessage response) {
+    input.trim();
+    idleSinceMicros = EventLoop.now();
+    reusableUntilMicros = idleSinceMicros + pool.reusableMicros(response);
+    pool.addIdle(this);
   }
 
   /**
-   * Gives the request up and the connection with it.
+   * Gives up on the request in flight and closes the connection. The listener is not called.
    *
-   * @return whether any byte of it may have reached the worker; what has not reached it by now
-   *     never does
+   * @return whether any byte of the request may have reached the worker; if not, it never will
    */
   public boolean abandon() {
-    SocketChannels.discard(channel);
+    socket.reset();
     listener = null;
-    close("abandoned");
-    return anyWritten();
+    close(CloseReason.ABANDONED);
+    return progress().mayHaveReachedWorker();
   }
 
-  /**
-   * The kernel has taken a byte of the request in hand. What it has taken may arrive, whatever
-   * happens here.
-   */
-  private boolean anyWritten() {
-    return out.written() > writtenBefore;
+  private RequestProgress progress() {
+    if (socket.writtenBytes() == writtenBeforeRequest) {
+      return connected ? RequestProgress.NOT_SENT : RequestProgress.CONNECTING;
+    }
+    if (!socket.isFlushed()) {
+      return RequestProgress.PARTLY_SENT;
+    }
+    return responseStarted ? RequestProgress.RESPONSE_INCOMPLETE : RequestProgress.SENT;
   }
 
-  void close(String why) {
+  void close(CloseReason reason) {
     if (closed) {
       return;
     }
     closed = true;
-    if (connectTimer != null) {
-      connectTimer.cancel();
-    }
-    key.cancel();
-    ResponseListener r = listener;
-    if (r != null) {
-      // What the worker has not got of the request by now must not reach it later.
-      SocketChannels.discard(channel);
+    connectTimer.cancel();
+    ResponseListener responseListener = listener;
+    listener = null;
+    if (responseListener == null) {
+      socket.close();
     } else {
-      SocketChannels.close(channel);
+      // What has not reached the worker by now must not reach it later.
+      socket.reset();
     }
-    pool.left(this);
-    listener = null;
-    if (r != null) {
-      r.failed(anyWritten(), why);
+    pool.remove(this);
+    if (responseListener != null) {
+      responseListener.failed(progress().mayHaveReachedWorker(), reason.label());
     }
   }
 }
--- a/src/main/java/org/otterpond/net/WorkerConnectionPool.java
+++ b/src/main/java/org/otterpond/net/WorkerConnectionPool.java
@@ -4,148 +4,155 @@
 import java.net.InetSocketAddress;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
-import java.util.HashSet;
 import java.util.Iterator;
-import java.util.Set;
 
-/** The connections of this node to one life of a worker. */
+/** The connections of this node to one incarnation of a worker. */
 public final class WorkerConnectionPool {
-  /** For {@link #send}: on a new connection, on which no answer to anything else can come. */
+  /** For {@link #send}: use a new connection, on which no response to another request can come. */
   public static final long NEW_ONLY = -1;
 
-  private static final long IDLE_UNTOLD = 4_000_000;
-  private static final long IDLE_MARGIN = 1_300_000;
+  /** How long an idle connection is used if the worker sends no Keep-Alive header. */
+  private static final long DEFAULT_REUSABLE_MICROS = 4_000_000;
+
+  /** How long before the worker's own time-out an idle connection is used no more. */
+  private static final long REUSE_MARGIN_MICROS = 1_300_000;
+
+  /** At least this part of the worker's time-out is used, however short it is. */
+  private static final long MIN_REUSE_DIVISOR = 4;
+
+  private static final long MICROS_PER_SECOND = 1_000_000;
+  private static final String TIMEOUT_PARAMETER = "timeout=";
 
   private final EventLoop eventLoop;
   private final InetSocketAddress address;
-  private final long answerBound;
-  private final String echoed;
+  private final long maxResponseBytes;
+  private final String idHeader;
   private final ArrayDeque<WorkerConnection> idle = new ArrayDeque<>();
-  private final Set<WorkerConnection> all = new HashSet<>();
   private boolean closed;
-  private long opened;
 
   /**
-   * @param echoed the header that every answer must bring back as the request had it
+   * Creates a pool without connections.
+   *
+   * @param maxResponseBytes the longest body of a response
+   * @param idHeader the header that each response must carry with the value that its request had;
+   *     if the request had none, the response must have none either
    */
   public WorkerConnectionPool(
-      EventLoop eventLoop, InetSocketAddress address, long answerBound, String echoed) {
-    this.echoed = echoed;
+      EventLoop eventLoop, InetSocketAddress address, long maxResponseBytes, String idHeader) {
     this.eventLoop = eventLoop;
     this.address = address;
-    this.answerBound = answerBound;
+    this.maxResponseBytes = maxResponseBytes;
+    this.idHeader = idHeader;
   }
 
-  String echoed() {
-    return echoed;
+  String idHeader() {
+    return idHeader;
   }
 
-  long answerBound() {
-    return answerBound;
+  long maxResponseBytes() {
+    return maxResponseBytes;
   }
 
   /**
-   * Sends on a kept connection or a new one; the tender is handed back so that it can be abandoned.
+   * Sends a request on an idle connection or a new one.
    *
-   * @param idleMost how long a connection may have been idle to be used: a worker may have
-   *     forgotten it since, and what is sent on it then is lost without proof of not having run
+   * @param connectMicros how long a new connection may take
+   * @param maxIdleMicros how long a connection may have been idle to be used: a worker may have
+   *     closed it since, and a request lost on it is not proved unexecuted
+   * @return the connection, by which the request can be abandoned; null if none could be begun, in
+   *     which case the listener is called later all the same
    */
   public WorkerConnection send(
-      HttpMessage request, long connectMicros, long idleMost, ResponseListener r) {
-    WorkerConnection t = kept(request.first(echoed), idleMost);
-    if (t != null) {
-      t.send(request, r);
-      return t;
-    }
-    try {
-      t = new WorkerConnection(eventLoop, this, address, connectMicros);
-    } catch (IOException e) {
-      eventLoop.after(0, () -> r.failed(false, "refused"));
-      return null;
+      HttpMessage request, long connectMicros, long maxIdleMicros, ResponseListener listener) {
+    WorkerConnection connection = takeIdle(request.first(idHeader), maxIdleMicros);
+    if (connection == null) {
+      try {
+        connection = new WorkerConnection(eventLoop, this, address, connectMicros);
+      } catch (IOException e) {
+        boolean written = RequestProgress.CONNECTING.mayHaveReachedWorker();
+        eventLoop.after(0, () -> listener.failed(written, CloseReason.REFUSED.label()));
+        return null;
+      }
     }
-    opened++;
-    all.add(t);
-    t.send(request, r);
-    return t;
+    connection.send(request, listener);
+    return connection;
   }
 
   /**
-   * The connection that was used last, of those that can carry a request of this id; null if there
-   * is none.
+   * Takes the connection that was used last, of those that can carry a request of this id; null if
+   * there is none.
    */
-  private WorkerConnection kept(String id, long idleMost) {
+  private WorkerConnection takeIdle(String id, long maxIdleMicros) {
     long now = EventLoop.now();
-    Iterator<WorkerConnection> it = idle.descendingIterator();
-    while (it.hasNext()) {
-      WorkerConnection t = it.next();
-      if (now - t.idleSince() > idleMost) {
+    Iterator<WorkerConnection> lastUsedFirst = idle.descendingIterator();
+    while (lastUsedFirst.hasNext()) {
+      WorkerConnection connection = lastUsedFirst.next();
+      if (now - connection.idleSinceMicros() > maxIdleMicros) {
         return null;
       }
-      if (t.mayHaveCarried(id)) {
+      if (connection.mayHaveCarried(id)) {
         continue;
       }
-      it.remove();
-      if (t.usable(now)) {
-        return t;
+      lastUsedFirst.remove();
+      if (connection.isReusable(now)) {
+        return connection;
       }
-      t.close("stale");
+      connection.close(CloseReason.STALE);
     }
     return null;
   }
 
-  void free(WorkerConnection t) {
+  void addIdle(WorkerConnection connection) {
     if (closed) {
-      t.close("pool_closed");
+      connection.close(CloseReason.POOL_CLOSED);
     } else {
-      idle.addLast(t);
+      idle.addLast(connection);
     }
   }
 
-  void left(WorkerConnection t) {
-    all.remove(t);
-    idle.remove(t);
+  void remove(WorkerConnection connection) {
+    idle.remove(connection);
   }
 
-  /** How long an idle connection may be used, going by what the worker said. */
-  long idleSpan(HttpMessage answer) {
-    String k = answer.first("Keep-Alive");
-    if (k != null) {
-      for (String part : k.split(",")) {
-        String p = part.trim();
-        if (p.regionMatches(true, 0, "timeout=", 0, 8)) {
-          try {
-            long told = 1_000_000L * Integer.parseInt(p.substring(8).trim());
-            return Math.max(told / 4, told - IDLE_MARGIN);
-          } catch (NumberFormatException e) {
-            return IDLE_UNTOLD;
-          }
-        }
+  /** Returns how long a connection may be used again after this response. */
+  long reusableMicros(HttpMessage response) {
+    String keepAlive = response.first("Keep-Alive");
+    if (keepAlive == null) {
+      return DEFAULT_REUSABLE_MICROS;
+    }
+    for (String parameter : keepAlive.split(",", -1)) {
+      String trimmed = parameter.trim();
+      if (trimmed.regionMatches(true, 0, TIMEOUT_PARAMETER, 0, TIMEOUT_PARAMETER.length())) {
+        return reusableMicros(trimmed.substring(TIMEOUT_PARAMETER.length()).trim());
       }
     }
-    return IDLE_UNTOLD;
+    return DEFAULT_REUSABLE_MICROS;
   }
 
-  /** Closes what has been idle too long. */
+  private static long reusableMicros(String timeoutSeconds) {
+    try {
+      long timeoutMicros = MICROS_PER_SECOND * Integer.parseInt(timeoutSeconds);
+      return Math.max(timeoutMicros / MIN_REUSE_DIVISOR, timeoutMicros - REUSE_MARGIN_MICROS);
+    } catch (NumberFormatException e) {
+      return DEFAULT_REUSABLE_MICROS;
+    }
+  }
+
+  /** Closes the connections that have been idle for too long. */
   public void sweep() {
     long now = EventLoop.now();
-    for (WorkerConnection t : new ArrayList<>(idle)) {
-      if (now >= t.usableUntil()) {
-        t.close("idle");
+    for (WorkerConnection connection : new ArrayList<>(idle)) {
+      if (now >= connection.reusableUntilMicros()) {
+        connection.close(CloseReason.STALE);
       }
     }
   }
 
-  /** Lets idle connections go, and busy ones when their answers are in. */
+  /** Closes idle connections now, and the others once their responses are complete. */
   public void close() {
     closed = true;
-    new ArrayList<>(idle).forEach(t -> t.close("pool_closed"));
-  }
-
-  public int open() {
-    return all.size();
-  }
-
-  public long opened() {
-    return opened;
+    for (WorkerConnection connection : new ArrayList<>(idle)) {
+      connection.close(CloseReason.POOL_CLOSED);
+    }
   }
 }
--- a/src/test/java/org/otterpond/net/HttpMessageFragmentsTest.java
+++ b/src/test/java/org/otterpond/net/HttpMessageFragmentsTest.java
@@ -8,70 +8,83 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Messages that are cut, or that arrive in two pieces, at every byte. */
+/** Messages that are cut off at any byte, or that come in two fragments. */
 class HttpMessageFragmentsTest {
   private static final String CHUNKED =
-      "Transfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n10;x=1\r\n0123456789abcdef\r\n"
-          + "0\r\nX-After: 1\r\n\r\n";
-  private static final String SIZED = "Content-Length: 9\r\n\r\nhe\r\n\r\nllo";
+      """
+      Transfer-Encoding: chunked\r
+      \r
+      5\r
+      hello\r
+      10;x=1\r
+      0123456789abcdef\r
+      0\r
+      X-After: 1\r
+      \r
+      """;
+  private static final String WITH_LENGTH = "Content-Length: 9\r\n\r\nhe\r\n\r\nllo";
 
-  private final ReceiveBuffer in = new ReceiveBuffer();
+  private final ReceiveBuffer input = new ReceiveBuffer();
+
+  private HttpMessageParser parser(boolean ofRequests) {
+    return ofRequests ? HttpMessageParser.ofRequests(input) : HttpMessageParser.ofResponses(input);
+  }
 
   private void put(String bytes) {
-    in.put(ByteBuffer.wrap(bytes.getBytes(StandardCharsets.ISO_8859_1)));
+    input.put(ByteBuffer.wrap(bytes.getBytes(StandardCharsets.ISO_8859_1)));
   }
 
-  private static HttpMessage read(HttpMessageParser r, boolean end) {
+  private static HttpMessage nextOrNull(HttpMessageParser parser, boolean inputEnded) {
     try {
-      return r.next(end);
+      return parser.next(inputEnded);
     } catch (MalformedMessageException e) {
       return null;
     }
   }
 
+  private static String statusAndBody(HttpMessage message) {
+    return message.status() + " " + new String(message.body(), StandardCharsets.ISO_8859_1);
+  }
+
   @ParameterizedTest
   @ValueSource(
       strings = {
         "HTTP/1.1 200 OK\r\n" + CHUNKED,
-        "HTTP/1.1 200 OK\r\n" + SIZED,
+        "HTTP/1.1 200 OK\r\n" + WITH_LENGTH,
         "HTTP/1.1 204 None\r\n\r\n",
         "HTTP/1.1 304 Same\r\nContent-Length: 7\r\n\r\n",
-        "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\n" + SIZED,
+        "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\n" + WITH_LENGTH,
         "POST /x HTTP/1.1\r\nHost: h\r\n" + CHUNKED,
-        "POST /x HTTP/1.1\r\nHost: h\r\n" + SIZED
+        "POST /x HTTP/1.1\r\nHost: h\r\n" + WITH_LENGTH
       })
-  void isWholeWithItsLastByteAndNotBefore(String whole) throws Exception {
-    boolean request = whole.startsWith("POST");
-    put(whole);
-    String body = text(new HttpMessageParser(in, request).next(false));
-    assertEquals(0, in.length());
-    for (int cut = 1; cut < whole.length(); cut++) {
-      HttpMessageParser r = new HttpMessageParser(in, request);
-      put(whole.substring(0, cut));
-      assertNull(read(r, false), "whole after " + cut);
-      put(whole.substring(cut));
-      assertEquals(body, text(r.next(false)), "in two pieces, at " + cut);
-      assertEquals(0, in.length());
-      put(whole.substring(0, cut));
-      assertNull(read(new HttpMessageParser(in, request), true), "ended after " + cut);
-      in.take(whole.length());
+  void givenMessageCutAtAnyByte_whenParsed_thenCompleteWithItsLastByteOnly(String message)
+      throws Exception {
+    boolean request = message.startsWith("POST");
+    put(message);
+    final String expected = statusAndBody(parser(request).next(false));
+    assertEquals(0, input.length());
+    for (int cut = 1; cut < message.length(); cut++) {
+      HttpMessageParser parser = parser(request);
+      put(message.substring(0, cut));
+      assertNull(nextOrNull(parser, false), "complete after " + cut);
+      put(message.substring(cut));
+      assertEquals(expected, statusAndBody(parser.next(false)), "in two fragments, at " + cut);
+      assertEquals(0, input.length());
+      put(message.substring(0, cut));
+      assertNull(nextOrNull(parser(request), true), "ended after " + cut);
+      input.take(message.length());
     }
   }
 
-  private static String text(HttpMessage m) {
-    return m.status() + " " + new String(m.body(), StandardCharsets.ISO_8859_1);
-  }
-
-  /**
-   * The answer to a HEAD has a length and no body; what comes behind it is the next one's trouble.
-   */
   @ParameterizedTest
-  @ValueSource(strings = {SIZED, CHUNKED})
-  void answerToHeadEndsWithItsHead(String rest) throws Exception {
-    HttpMessageParser r = new HttpMessageParser(in, false);
-    r.expect(true);
-    put("HTTP/1.1 200 OK\r\n" + rest);
-    assertEquals("200 ", text(r.next(false)));
-    assertEquals(rest.length() - rest.indexOf("\r\n\r\n") - 4, in.length());
+  @ValueSource(strings = {WITH_LENGTH, CHUNKED})
+  void givenResponseToHead_whenParsed_thenItEndsWithItsHeaders(String headersAndMore)
+      throws Exception {
+    HttpMessageParser parser = parser(false);
+    parser.responseToHead(true);
+    put("HTTP/1.1 200 OK\r\n" + headersAndMore);
+    assertEquals("200 ", statusAndBody(parser.next(false)));
+    int afterHeaders = headersAndMore.length() - headersAndMore.indexOf("\r\n\r\n") - 4;
+    assertEquals(afterHeaders, input.length());
   }
 }
--- a/src/test/java/org/otterpond/net/WorkerConnectionStatesTest.java
+++ b/src/test/java/org/otterpond/net/WorkerConnectionStatesTest.java
@@ -17,6 +17,7 @@
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.List;
+import java.util.concurrent.Callable;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
@@ -28,21 +29,18 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * What a request to a worker proves when it fails, in each state of its connection, over real
- * sockets.
+ * What a failed request to a worker proves, for each {@link RequestProgress} and end of the
+ * connection. Runs over real sockets.
  */
 class WorkerConnectionStatesTest {
   private static final String ID = "X-Id";
   private static final String SENT = "failed, may have arrived";
   private static final String UNSENT = "failed, not sent";
 
-  /**
-   * For the states in which the connection does not come up in its time; the others need one that
-   * does.
-   */
-  private static final long SHORT = 300_000;
+  /** For the tests in which the connection is not established in time. */
+  private static final long SHORT_CONNECT_MICROS = 300_000;
 
-  private final LinkedBlockingQueue<String> told = new LinkedBlockingQueue<>();
+  private final LinkedBlockingQueue<String> outcomes = new LinkedBlockingQueue<>();
   private EventLoop eventLoop;
   private Thread owner;
   private ServerSocket worker;
@@ -66,14 +64,17 @@
   }
 
   private void listen(int backlog) throws IOException {
-    worker = new ServerSocket(0, backlog, InetAddress.getByName("127.0.0.1"));
+    worker = new ServerSocket(0, backlog, InetAddress.getLoopbackAddress());
     worker.setSoTimeout(5_000);
     pool =
         new WorkerConnectionPool(
-            eventLoop, new InetSocketAddress("127.0.0.1", worker.getLocalPort()), 1 << 20, ID);
+            eventLoop,
+            new InetSocketAddress(InetAddress.getLoopbackAddress(), worker.getLocalPort()),
+            1 << 20,
+            ID);
   }
 
-  private <T> T onOwner(java.util.concurrent.Callable<T> task) throws Exception {
+  private <T> T onOwner(Callable<T> task) throws Exception {
     CompletableFuture<T> done = new CompletableFuture<>();
     Runnable run =
         () -> {
@@ -92,57 +93,54 @@
   }
 
   private WorkerConnection send(String id, int bodyBytes) throws Exception {
-    HttpMessage m =
+    HttpMessage request =
         HttpMessage.request("POST", "/x")
             .header("Host", "h")
             .header(ID, id)
             .body(new byte[bodyBytes]);
-    return onOwner(
-        () ->
-            pool.send(
-                m,
-                connectMicros,
-                Long.MAX_VALUE,
-                new ResponseListener() {
-                  @Override
-                  public void answered(HttpMessage r) {
-                    told.add(r.status() + " " + new String(r.body(), StandardCharsets.ISO_8859_1));
-                  }
+    return onOwner(() -> pool.send(request, connectMicros, Long.MAX_VALUE, new OutcomeRecorder()));
+  }
 
-                  @Override
-                  public void failed(boolean written, String why) {
-                    told.add(written ? SENT : UNSENT);
-                  }
-                }));
+  private final class OutcomeRecorder implements ResponseListener {
+    @Override
+    public void answered(HttpMessage response) {
+      String body = new String(response.body(), StandardCharsets.ISO_8859_1);
+      outcomes.add(response.status() + " " + body);
+    }
+
+    @Override
+    public void failed(boolean written, String why) {
+      outcomes.add(written ? SENT : UNSENT);
+    }
   }
 
-  private String told() throws InterruptedException {
-    return told.poll(5, TimeUnit.SECONDS);
+  private String nextOutcome() throws InterruptedException {
+    return outcomes.poll(5, TimeUnit.SECONDS);
   }
 
   private Socket accept() throws IOException {
-    Socket s = worker.accept();
-    s.setSoTimeout(5_000);
-    return s;
+    Socket socket = worker.accept();
+    socket.setSoTimeout(5_000);
+    return socket;
   }
 
-  private static void readRequest(Socket s) throws IOException {
-    StringBuilder b = new StringBuilder();
-    while (b.indexOf("\r\n\r\n") < 0) {
-      int c = s.getInputStream().read();
-      if (c < 0) {
-        throw new IOException("ended in " + b);
+  private static void readRequest(Socket socket) throws IOException {
+    StringBuilder head = new StringBuilder();
+    while (head.indexOf("\r\n\r\n") < 0) {
+      int next = socket.getInputStream().read();
+      if (next < 0) {
+        throw new IOException("ended in " + head);
       }
-      b.append((char) c);
+      head.append((char) next);
     }
   }
 
-  private static void write(Socket s, String bytes) throws IOException {
-    s.getOutputStream().write(bytes.getBytes(StandardCharsets.ISO_8859_1));
-    s.getOutputStream().flush();
+  private static void write(Socket socket, String bytes) throws IOException {
+    socket.getOutputStream().write(bytes.getBytes(StandardCharsets.ISO_8859_1));
+    socket.getOutputStream().flush();
   }
 
-  private static String answer(String id, String body) {
+  private static String response(String id, String body) {
     return "HTTP/1.1 200 OK\r\n"
         + ID
         + ": "
@@ -154,9 +152,9 @@
   }
 
   /** Whether the other side ends the connection, in whatever way. */
-  private static boolean ended(Socket s) {
+  private static boolean ended(Socket socket) {
     try {
-      s.getInputStream().readAllBytes();
+      socket.getInputStream().readAllBytes();
       return true;
     } catch (SocketTimeoutException e) {
       return false;
@@ -165,47 +163,47 @@
     }
   }
 
-  private static void reset(Socket s) throws IOException {
-    s.setSoLinger(true, 0);
-    s.close();
+  private static void reset(Socket socket) throws IOException {
+    socket.setSoLinger(true, 0);
+    socket.close();
   }
 
   @Test
-  void notConnectedProvesThatNothingWasSent() throws Exception {
+  void givenNoListener_whenSent_thenProvedNotSent() throws Exception {
     worker.close();
     send("a", 10);
-    assertEquals(UNSENT, told());
+    assertEquals(UNSENT, nextOutcome());
   }
 
   @Test
-  void connectingProvesThatNothingWasSent() throws Exception {
-    connectMicros = SHORT;
+  void givenConnecting_whenAbandonedOrTimedOut_thenProvedNotSent() throws Exception {
+    connectMicros = SHORT_CONNECT_MICROS;
     worker.close();
     listen(1);
     List<Socket> filling = new ArrayList<>();
     for (int i = 0; i < 2; i++) {
-      filling.add(new Socket("127.0.0.1", worker.getLocalPort()));
+      filling.add(new Socket(InetAddress.getLoopbackAddress(), worker.getLocalPort()));
     }
-    WorkerConnection given = send("a", 10);
-    assertFalse(onOwner(given::abandon), "given up while it connects");
-    assertNull(told.poll(), "whoever gives up is told nothing more");
+    WorkerConnection connection = send("a", 10);
+    assertFalse(onOwner(connection::abandon), "abandoned while it connects");
+    assertNull(outcomes.poll(), "no outcome after an abandoned request");
     send("b", 10);
-    assertEquals(UNSENT, told(), "the connection never came up in its time");
-    for (Socket s : filling) {
-      s.close();
+    assertEquals(UNSENT, nextOutcome(), "the connection was not established in time");
+    for (Socket socket : filling) {
+      socket.close();
     }
   }
 
   /**
-   * As after a freeze: the connection came up in time, and was not looked at until its time was
-   * over.
+   * As after the process was suspended: the connection was established in time, which was noticed
+   * only after that time.
    */
   @Test
-  void nothingIsSentOnAConnectionThatWasSeenTooLate() throws Exception {
-    connectMicros = SHORT;
+  void givenConnectionNoticedTooLate_whenSent_thenProvedNotSent() throws Exception {
+    connectMicros = SHORT_CONNECT_MICROS;
     CompletableFuture<Boolean> sent = new CompletableFuture<>();
-    // Last in the owner's turn, so that it meets the connection before the timers, as a process
-    // that wakes does.
+    // Last in the owner's round, so that it handles the connection before the timers, as a process
+    // that is resumed does.
     eventLoop.execute(
         () ->
             eventLoop.after(
@@ -220,142 +218,139 @@
                   }
                 }));
     assertTrue(sent.get(5, TimeUnit.SECONDS));
-    Socket s = accept();
-    assertEquals(UNSENT, told());
-    assertEquals(0, s.getInputStream().available());
-    assertTrue(ended(s));
+    Socket socket = accept();
+    assertEquals(UNSENT, nextOutcome());
+    assertEquals(0, socket.getInputStream().available());
+    assertTrue(ended(socket));
   }
 
-  /** The kernel holds a part and the worker has read none of it: it may yet. */
+  /** The kernel has taken a part; whether or not the worker has read it, it still may. */
   @ParameterizedTest
   @ValueSource(booleans = {true, false})
-  void partWrittenMayHaveArrived(boolean byReset) throws Exception {
-    WorkerConnection t = send("a", 20 << 20);
-    Socket s = accept();
-    s.getInputStream().read();
+  void givenPartlySent_whenResetOrAbandoned_thenMayHaveArrived(boolean byReset) throws Exception {
+    WorkerConnection connection = send("a", 20 << 20);
+    Socket socket = accept();
+    socket.getInputStream().read();
     if (byReset) {
-      reset(s);
-      assertEquals(SENT, told());
+      reset(socket);
+      assertEquals(SENT, nextOutcome());
     } else {
-      assertTrue(onOwner(t::abandon));
+      assertTrue(onOwner(connection::abandon));
       assertThrows(
           IOException.class,
-          () -> s.getInputStream().readAllBytes(),
-          "what is on its way is called back and not sent to the end");
-      s.close();
+          () -> socket.getInputStream().readAllBytes(),
+          "what has not been delivered is dropped");
+      socket.close();
     }
   }
 
   @ParameterizedTest
   @CsvSource({"close", "reset", "silence"})
-  void wholeWrittenMayHaveArrived(String end) throws Exception {
-    WorkerConnection t = send("a", 10);
-    Socket s = accept();
-    readRequest(s);
+  void givenSent_whenConnectionEndsOrIsSilent_thenMayHaveArrived(String end) throws Exception {
+    WorkerConnection connection = send("a", 10);
+    Socket socket = accept();
+    readRequest(socket);
     switch (end) {
-      case "close" -> s.close();
-      case "reset" -> reset(s);
+      case "close" -> socket.close();
+      case "reset" -> reset(socket);
       default -> {
-        assertTrue(onOwner(t::abandon));
-        assertTrue(ended(s), "nobody is there for what comes late");
-        assertNull(told.poll());
+        assertTrue(onOwner(connection::abandon));
+        assertTrue(ended(socket), "nothing is there for a late response");
+        assertNull(outcomes.poll());
         return;
       }
     }
-    assertEquals(SENT, told());
+    assertEquals(SENT, nextOutcome());
   }
 
   @ParameterizedTest
   @CsvSource({"10,true", "10,false", "60,true", "60,false"})
-  void partOfAnAnswerIsNone(int bytes, boolean byReset) throws Exception {
+  void givenIncompleteResponse_whenConnectionEnds_thenMayHaveArrived(int bytes, boolean byReset)
+      throws Exception {
     send("a", 10);
-    Socket s = accept();
-    readRequest(s);
-    write(s, answer("a", "a body of some length").substring(0, bytes));
+    Socket socket = accept();
+    readRequest(socket);
+    write(socket, response("a", "a body of some length").substring(0, bytes));
     if (byReset) {
-      reset(s);
+      reset(socket);
     } else {
-      s.close();
+      socket.close();
     }
-    assertEquals(SENT, told());
+    assertEquals(SENT, nextOutcome());
   }
 
-  /**
-   * A kept connection that ended after its answer carries nothing more, so nothing is lost on it.
-   */
+  /** No request is sent on a connection that ended after its response, so none is lost on it. */
   @ParameterizedTest
   @ValueSource(booleans = {true, false})
-  void keptConnectionThatEndedIsNotUsed(boolean byReset) throws Exception {
+  void givenIdleConnectionThatEnded_whenSent_thenNewOneIsUsed(boolean byReset) throws Exception {
     send("a", 10);
-    Socket s = accept();
-    readRequest(s);
-    write(s, answer("a", "one"));
-    assertEquals("200 one", told());
+    Socket socket = accept();
+    readRequest(socket);
+    write(socket, response("a", "one"));
+    assertEquals("200 one", nextOutcome());
     if (byReset) {
-      reset(s);
+      reset(socket);
     } else {
-      s.close();
+      socket.close();
     }
     send("b", 10);
     Socket next = accept();
     readRequest(next);
-    write(next, answer("b", "two"));
-    assertEquals("200 two", told());
+    write(next, response("b", "two"));
+    assertEquals("200 two", nextOutcome());
   }
 
-  /** The look at a kept connection says nothing of a reset that is still under way. */
+  /** To read an idle connection before its use does not show a reset that is still in transit. */
   @Test
-  void keptConnectionResetUnderTheNextRequestProvesNothing() throws Exception {
-    WorkerConnection first = send("a", 10);
-    Socket s = accept();
-    readRequest(s);
-    s.getInputStream().skipNBytes(10);
-    write(s, answer("a", "one"));
-    assertEquals("200 one", told());
-    assertSame(first, send("b", 10), "the kept connection is used");
-    s.getInputStream().read();
-    reset(s);
-    assertEquals(SENT, told());
+  void givenIdleConnection_whenResetUnderNextRequest_thenMayHaveArrived() throws Exception {
+    final WorkerConnection first = send("a", 10);
+    Socket socket = accept();
+    readRequest(socket);
+    socket.getInputStream().skipNBytes(10);
+    write(socket, response("a", "one"));
+    assertEquals("200 one", nextOutcome());
+    assertSame(first, send("b", 10), "the idle connection is used");
+    socket.getInputStream().read();
+    reset(socket);
+    assertEquals(SENT, nextOutcome());
   }
 
-  /**
-   * As a worker in trouble does: the same request came again, and the second answer to the first is
-   * late.
-   */
+  /** As a faulty worker does: it responds twice, and the second response comes late. */
   @Test
-  void secondAnswerToTheSameIdIsNotTakenForTheNextRun() throws Exception {
-    WorkerConnection first = send("a", 10);
-    Socket s = accept();
-    readRequest(s);
-    s.getInputStream().skipNBytes(10);
-    write(s, answer("a", "first run"));
-    assertEquals("200 first run", told());
-    assertNotSame(first, send("a", 10), "it goes on a connection that has not carried this id");
+  void givenSameIdSentAgain_whenFirstIsAnsweredTwice_thenSecondResponseIsIgnored()
+      throws Exception {
+    final WorkerConnection first = send("a", 10);
+    Socket socket = accept();
+    readRequest(socket);
+    socket.getInputStream().skipNBytes(10);
+    write(socket, response("a", "first run"));
+    assertEquals("200 first run", nextOutcome());
+    assertNotSame(first, send("a", 10), "a connection that has not carried this id is used");
     Socket other = accept();
     readRequest(other);
-    write(s, answer("a", "first run"));
-    assertNull(told.poll(200, TimeUnit.MILLISECONDS));
-    write(other, answer("a", "second run"));
-    assertEquals("200 second run", told());
+    write(socket, response("a", "first run"));
+    assertNull(outcomes.poll(200, TimeUnit.MILLISECONDS));
+    write(other, response("a", "second run"));
+    assertEquals("200 second run", nextOutcome());
   }
 
   @Test
-  void interimAnswersAreNoneAndAForeignOneEndsTheConnection() throws Exception {
+  void givenInterimOrOtherResponse_whenReceived_thenItIsNotTheResponse() throws Exception {
     send("a", 10);
-    Socket s = accept();
-    readRequest(s);
-    s.getInputStream().skipNBytes(10);
+    Socket socket = accept();
+    readRequest(socket);
+    socket.getInputStream().skipNBytes(10);
     write(
-        s,
+        socket,
         "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\n"
             + ID
             + ": b\r\n\r\n"
-            + answer("a", "one"));
-    assertEquals("200 one", told());
+            + response("a", "one"));
+    assertEquals("200 one", nextOutcome());
     send("b", 10);
-    readRequest(s);
-    write(s, answer("a", "again"));
-    assertEquals(SENT, told());
-    assertTrue(ended(s));
+    readRequest(socket);
+    write(socket, response("a", "again"));
+    assertEquals(SENT, nextOutcome());
+    assertTrue(ended(socket));
   }
 }
