--- a/src/main/java/org/otterpond/net/EventLoop.java
+++ b/src/main/java/org/otterpond/net/EventLoop.java
@@ -37,6 +37,8 @@
   private final ByteBuffer ioBuffer = ByteBuffer.allocateDirect(IO_BUFFER_BYTES);
   private long timersCreated;
   private volatile boolean stopped;
+
+  /** Set by the owner thread itself: a thread that does not see it yet is another one. */
   private Thread owner;
 
   /** A task that is run once at a time, unless it is cancelled before. */
--- a/src/main/java/org/otterpond/storage/GroupCommitWriter.java
+++ b/src/main/java/org/otterpond/storage/GroupCommitWriter.java
@@ -1,6 +1,8 @@
 package org.otterpond.storage;
 
 import com.google.common.util.concurrent.ThreadFactoryBuilder;
+import java.io.Closeable;
+import java.io.IOException;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.Executor;
@@ -17,7 +19,7 @@
  * @param <R> the result of writing a batch
  * @param <C> the callback of a record
  */
-final class GroupCommitWriter<R, C> implements AutoCloseable {
+final class GroupCommitWriter<R, C> {
   private static final Logger LOG = LoggerFactory.getLogger(GroupCommitWriter.class);
 
   private final Executor owner;
@@ -107,9 +109,19 @@
     diskThread.execute(task);
   }
 
-  /** Ends the disk thread once it has run the tasks before; nothing may be appended after. */
-  @Override
-  public void close() {
+  /**
+   * Closes the log and ends the disk thread, after the tasks before; nothing may be appended then.
+   */
+  void close(Closeable log) {
+    diskThread.execute(() -> closeLoggingFailure(log));
     diskThread.shutdown();
   }
+
+  private static void closeLoggingFailure(Closeable log) {
+    try {
+      log.close();
+    } catch (IOException e) {
+      LOG.warn("event=journal_close_failed cause=\"{}\"", String.valueOf(e));
+    }
+  }
 }
--- a/src/main/java/org/otterpond/storage/SegmentedLog.java
+++ b/src/main/java/org/otterpond/storage/SegmentedLog.java
@@ -1,5 +1,6 @@
 package org.otterpond.storage;
 
+import java.io.Closeable;
 import java.io.IOException;
 import java.nio.file.Path;
 import java.util.ArrayList;
@@ -16,7 +17,7 @@
  *
  * <p>Not thread-safe: all methods but the constructor are called on one thread at a time.
  */
-public final class SegmentedLog {
+public final class SegmentedLog implements Closeable {
   private static final String FILE_PREFIX = "seg-";
 
   private final DurableDirectory directory;
@@ -261,18 +262,11 @@
     }
   }
 
-  /**
-   * Closes all files.
-   *
-   * @throws StorageIoException if that fails
-   */
-  void close() throws StorageException {
-    try {
-      for (Segment segment : segments.values()) {
-        segment.close();
-      }
-    } catch (IOException e) {
-      throw StorageException.of("cannot close the segmented log in " + directory.path(), e);
+  /** Closes all files. */
+  @Override
+  public void close() throws IOException {
+    for (Segment segment : segments.values()) {
+      segment.close();
     }
   }
 }
--- a/src/main/java/org/otterpond/storage/SegmentedLogWriter.java
+++ b/src/main/java/org/otterpond/storage/SegmentedLogWriter.java
@@ -168,16 +168,7 @@
   /** Ends the disk thread after the tasks that have begun, and closes the log. */
   @Override
   public void close() {
-    batches.runOnDiskThread(this::closeLog);
-    batches.close();
-  }
-
-  private void closeLog() {
-    try {
-      log.close();
-    } catch (StorageException e) {
-      LOG.warn("event=journal_close_failed cause=\"{}\"", String.valueOf(e.getCause()));
-    }
+    batches.close(log);
   }
 
   /** Appends frames, to a new segment if there are records for one to begin with. */
--- a/src/main/java/org/otterpond/storage/WriteAheadLog.java
+++ b/src/main/java/org/otterpond/storage/WriteAheadLog.java
@@ -1,5 +1,6 @@
 package org.otterpond.storage;
 
+import java.io.Closeable;
 import java.io.IOException;
 import java.nio.channels.FileChannel;
 import java.nio.file.Files;
@@ -17,7 +18,7 @@
  *
  * <p>Not thread-safe: it is opened and replayed by one thread and then handed to another.
  */
-public final class WriteAheadLog {
+public final class WriteAheadLog implements Closeable {
   private static final String FILE_PREFIX = "log-";
 
   /** A file is not rotated below this size unless the disk is small. */
@@ -302,19 +303,11 @@
     return Math.max(initialBytes + MIN_GROWTH_BYTES, Math.min(preferred, available));
   }
 
-  /**
-   * Closes the current file.
-   *
-   * @throws StorageIoException if that fails
-   */
-  void close() throws StorageException {
-    if (channel == null) {
-      return;
-    }
-    try {
+  /** Closes the current file. */
+  @Override
+  public void close() throws IOException {
+    if (channel != null) {
       channel.close();
-    } catch (IOException e) {
-      throw StorageException.of("cannot close the write-ahead log", e);
     }
   }
 }
--- a/src/main/java/org/otterpond/storage/WriteAheadLogWriter.java
+++ b/src/main/java/org/otterpond/storage/WriteAheadLogWriter.java
@@ -59,16 +59,7 @@
   /** Ends the disk thread after the writes that have begun, and closes the log. */
   @Override
   public void close() {
-    batches.runOnDiskThread(this::closeLog);
-    batches.close();
-  }
-
-  private void closeLog() {
-    try {
-      log.close();
-    } catch (StorageException e) {
-      LOG.warn("event=journal_close_failed cause=\"{}\"", String.valueOf(e.getCause()));
-    }
+    batches.close(log);
   }
 
   private boolean append(List<byte[]> frames) {
--- a/src/test/java/org/otterpond/storage/GroupCommitWriterTest.java
+++ b/src/test/java/org/otterpond/storage/GroupCommitWriterTest.java
@@ -17,6 +17,7 @@
 class GroupCommitWriterTest {
   private final LinkedBlockingQueue<Runnable> owner = new LinkedBlockingQueue<>();
   private final CountDownLatch diskReady = new CountDownLatch(1);
+  private final CountDownLatch closed = new CountDownLatch(1);
   private final List<Integer> batchSizes = new ArrayList<>();
   private final List<String> results = new ArrayList<>();
 
@@ -50,6 +51,10 @@
     }
   }
 
+  private GroupCommitWriter<String, Consumer<String>> newWriter() {
+    return new GroupCommitWriter<>(owner::add, "disk-thread", new Target());
+  }
+
   private void runOwnerUntilResults(int count) throws InterruptedException {
     while (results.size() < count) {
       Runnable task = owner.poll(20, TimeUnit.SECONDS);
@@ -60,30 +65,30 @@
 
   @Test
   void givenWriteInProgress_whenRecordsArrive_thenTheyAreOneBatchAfterIt() throws Exception {
-    try (GroupCommitWriter<String, Consumer<String>> writer =
-        new GroupCommitWriter<>(owner::add, "disk-thread", new Target())) {
+    GroupCommitWriter<String, Consumer<String>> writer = newWriter();
+    writer.append(new byte[1], results::add);
+    owner.take().run();
+    for (int i = 0; i < 3; i++) {
       writer.append(new byte[1], results::add);
-      owner.take().run();
-      for (int i = 0; i < 3; i++) {
-        writer.append(new byte[1], results::add);
-      }
-      diskReady.countDown();
-      runOwnerUntilResults(4);
-      assertEquals(List.of(1, 3), batchSizes);
-      assertEquals(List.of("disk-thread", "disk-thread", "disk-thread", "disk-thread"), results);
     }
+    diskReady.countDown();
+    runOwnerUntilResults(4);
+    assertEquals(List.of(1, 3), batchSizes);
+    assertEquals(List.of("disk-thread", "disk-thread", "disk-thread", "disk-thread"), results);
+    writer.close(() -> closed.countDown());
+    assertTrue(closed.await(20, TimeUnit.SECONDS));
   }
 
   @Test
   void givenWriteThatEndsByAnError_whenNextRecordArrives_thenItIsWritten() throws Exception {
     diskReady.countDown();
-    try (GroupCommitWriter<String, Consumer<String>> writer =
-        new GroupCommitWriter<>(owner::add, "disk-thread", new Target())) {
-      writer.append(new byte[0], results::add);
-      runOwnerUntilResults(1);
-      writer.append(new byte[1], results::add);
-      runOwnerUntilResults(2);
-      assertEquals(List.of("failed", "disk-thread"), results);
-    }
+    GroupCommitWriter<String, Consumer<String>> writer = newWriter();
+    writer.append(new byte[0], results::add);
+    runOwnerUntilResults(1);
+    writer.append(new byte[1], results::add);
+    runOwnerUntilResults(2);
+    assertEquals(List.of("failed", "disk-thread"), results);
+    writer.close(() -> closed.countDown());
+    assertTrue(closed.await(20, TimeUnit.SECONDS));
   }
 }
