--- a/src/main/java/org/otterpond/config/GatewayConfiguration.java
+++ b/src/main/java/org/otterpond/config/GatewayConfiguration.java
@@ -59,7 +59,7 @@
   }
 
   /** Returns the tenant of an access key, or null. */
-  public Tenant tenantOf(String key) {
+  public Tenant tenantByKey(String key) {
     return tenantsByKey.get(key);
   }
 
--- a/src/main/java/org/otterpond/config/NodeSettings.java
+++ b/src/main/java/org/otterpond/config/NodeSettings.java
@@ -183,17 +183,17 @@
   }
 
   /** Returns the listen address for clients, or null. */
-  public String frontPoint() {
+  public String frontAddress() {
     return node.listen().front();
   }
 
   /** Returns the listen address for readiness checks, or null. */
-  public String readinessPoint() {
+  public String readinessAddress() {
     return node.listen().readiness();
   }
 
   /** Returns the listen address of the control API, or null. */
-  public String controlPoint() {
+  public String controlAddress() {
     return node.listen().control();
   }
 
@@ -333,12 +333,12 @@
   }
 
   /** Returns the number of zones whose loss is tolerated. */
-  public int zoneFaults() {
+  public int toleratedZones() {
     return faultTolerance.zones();
   }
 
   /** Returns the number of regions whose loss is tolerated. */
-  public int regionFaults() {
+  public int toleratedRegions() {
     return faultTolerance.regions();
   }
 
--- a/src/main/java/org/otterpond/config/Route.java
+++ b/src/main/java/org/otterpond/config/Route.java
@@ -9,28 +9,28 @@
  * @param host host name in lower case
  * @param prefix path prefix; starts and ends with a slash
  * @param type which requests may be retried
- * @param guardMicros deadline of a request
- * @param aimMicros latency target; 0 means none
+ * @param timeoutMicros deadline of a request
+ * @param latencyTargetMicros latency target; 0 means none
  * @param priority priority of its requests; higher is served first
  * @param targets the services with their weights, one at least
  * @param maxAttempts most attempts of one request
  * @param open whether requests need no access key
  * @param ordered whether messages are delivered in the order of their keys
- * @param keepMicros retention of messages that cannot be delivered; 0 if none was given
+ * @param retentionMicros retention of messages that cannot be delivered; 0 if none was given
  */
 public record Route(
     String name,
     String host,
     String prefix,
     RouteType type,
-    long guardMicros,
-    long aimMicros,
+    long timeoutMicros,
+    long latencyTargetMicros,
     int priority,
     List<RouteTarget> targets,
     int maxAttempts,
     boolean open,
     boolean ordered,
-    long keepMicros) {
+    long retentionMicros) {
 
   /**
    * Returns the service for a random draw.
--- a/src/main/java/org/otterpond/config/Tenant.java
+++ b/src/main/java/org/otterpond/config/Tenant.java
@@ -14,7 +14,7 @@
 public record Tenant(
     String name, List<String> keys, int priority, double ratePerSecond, double burst) {
   /** Returns whether the tenant has a rate limit. */
-  public boolean limited() {
+  public boolean hasRateLimit() {
     return ratePerSecond > 0;
   }
 }
--- a/src/main/java/org/otterpond/control/agent/ControlPlaneAgent.java
+++ b/src/main/java/org/otterpond/control/agent/ControlPlaneAgent.java
@@ -87,7 +87,7 @@
             runtime,
             requests,
             identity.incarnation(),
-            settings.quota().lentMicros() - ControlPlaneSettings.LENT_MARGIN);
+            settings.quota().tokenLeaseMicros() - ControlPlaneSettings.LENT_MARGIN);
     this.messageHandlers =
         Map.of(
             NodeHello.KIND, (from, encoded) -> locator.onHello(from, NodeHello.of(encoded)),
@@ -114,7 +114,7 @@
   public void replayed() {
     EpochRecord accepted = core.acceptedRecord();
     if (accepted != null) {
-      learnt(accepted);
+      onRecordLearned(accepted);
     }
   }
 
@@ -147,11 +147,11 @@
 
   private void onEpochRecord(EpochRecord record) {
     core.learn(record);
-    learnt(record);
+    onRecordLearned(record);
   }
 
   @Override
-  public void learnt(EpochRecord record) {
+  public void onRecordLearned(EpochRecord record) {
     if (locator.adopt(record)) {
       poller.onPrimaryChanged();
       requests.resendToPrimary();
@@ -162,7 +162,7 @@
   @Override
   public void began(EpochRecord record, boolean continued) {
     core.began(continued, configuration.current());
-    learnt(record);
+    onRecordLearned(record);
     locator.announceToContacts();
     requests.resendToPrimary();
   }
@@ -185,7 +185,7 @@
    * The newest moment, on this node's monotonic clock in microseconds, at which the configuration
    * in use is known to have been the newest acknowledged one.
    */
-  public long freshAt() {
+  public long configurationConfirmedAt() {
     return poller.configurationFreshAt();
   }
 
@@ -251,7 +251,7 @@
    * @param token the lock's token
    * @param answer called once with the outcome, null if the node does not know or answer
    */
-  public void fetch(
+  public void fetchOutcome(
       String holder, String key, String token, long timeoutMicros, Consumer<WireRecord> answer) {
     requests.toNode(
         holder,
@@ -276,7 +276,7 @@
    * @param answer called once with the reply, with {@code no} = {@code unsent} if the request
    *     certainly did not arrive, or with null if nothing is known of the outcome
    */
-  public void askNode(
+  public void requestNodeOnce(
       String node, Encodable request, long timeoutMicros, Consumer<WireRecord> answer) {
     requests.toNodeOnce(node, request, timeoutMicros, answer);
   }
@@ -292,7 +292,7 @@
   }
 
   /** The number that names this process among those of the same address. */
-  public long life() {
+  public long incarnation() {
     return identity.incarnation();
   }
 
--- a/src/main/java/org/otterpond/control/agent/LocalCore.java
+++ b/src/main/java/org/otterpond/control/agent/LocalCore.java
@@ -53,7 +53,7 @@
             identity.address(),
             identity.seeds(),
             identity.firstStart(),
-            settings.losses());
+            settings.faultTolerance());
     if (identity.diskId() == null) {
       this.replica = null;
       this.primaryServices = null;
@@ -63,7 +63,12 @@
         new ReplicatedState(settings.keyWindowMicros() + KEY_LOCK_MARGIN_MICROS);
     this.replica =
         new EpochReplica(
-            runtime, EpochTimeouts.standard(), listener, ownMember(), state, settings.losses());
+            runtime,
+            EpochTimeouts.standard(),
+            listener,
+            ownMember(),
+            state,
+            settings.faultTolerance());
     this.primaryServices = new PrimaryServices(runtime, replica, ownMember(), dataPlane, settings);
   }
 
@@ -81,7 +86,7 @@
   }
 
   private boolean mayBootstrap() {
-    return replica != null && !replica.chartered() && identity.blankDisk() && identity.firstStart();
+    return replica != null && !replica.hasRecord() && identity.blankDisk() && identity.firstStart();
   }
 
   /** Replays one record of the write-ahead log. */
@@ -122,7 +127,7 @@
   /** Informs the core member of an epoch record. */
   void learn(EpochRecord record) {
     if (record.epoch() == FIRST_EPOCH && mayBootstrap()) {
-      replica.found(record);
+      replica.acceptFirstRecord(record);
     }
     if (replica != null) {
       replica.learn(record);
--- a/src/main/java/org/otterpond/control/agent/QuotaCache.java
+++ b/src/main/java/org/otterpond/control/agent/QuotaCache.java
@@ -102,7 +102,7 @@
   }
 
   /** Uses a token for the caller as soon as there is one; at once if one is cached. */
-  public void want(String tenant, Taker taker) {
+  public void acquire(String tenant, Taker taker) {
     TenantTokens tokens = tokens(tenant);
     if (!tokens.hasWaiters() && take(tokens)) {
       taker.taken();
@@ -161,7 +161,7 @@
   }
 
   /** Adds the fields of {@link #account(List)} to an encoded request. */
-  public WireRecord sign(WireRecord request) {
+  public WireRecord addAccount(WireRecord request) {
     return request.with("life", incarnation).with("term", ownerTerm);
   }
 
--- a/src/main/java/org/otterpond/control/agent/UpdatePoller.java
+++ b/src/main/java/org/otterpond/control/agent/UpdatePoller.java
@@ -150,7 +150,7 @@
   private PollReports reports() {
     return new PollReports(
         dataPlane.figures(),
-        dataPlane.heat(),
+        dataPlane.takeKeyLoads(),
         WorkerReport.of(roster.takeUnreported(), runtime.now()));
   }
 
--- a/src/main/java/org/otterpond/control/agent/WorkerRoster.java
+++ b/src/main/java/org/otterpond/control/agent/WorkerRoster.java
@@ -52,7 +52,7 @@
     } else {
       endedAt.remove(merged.id());
     }
-    if (merged.differs(previous)) {
+    if (merged.changesRoutingOf(previous)) {
       onChange.accept(merged);
     }
   }
@@ -61,7 +61,7 @@
   long checksum() {
     long sum = 0;
     for (WorkerInstance worker : workers.values()) {
-      sum += worker.sum();
+      sum += worker.checksum();
     }
     return sum;
   }
@@ -70,7 +70,7 @@
   void compareWith(Map<String, WorkerInstance> primaryTable) {
     for (WorkerInstance own : workers.values()) {
       WorkerInstance other = primaryTable.get(own.id());
-      if (own.differs(other) && (other != null || !hasEnded(own))) {
+      if (own.changesRoutingOf(other) && (other != null || !hasEnded(own))) {
         unreported.put(own.id(), own);
       }
     }
--- a/src/main/java/org/otterpond/control/bootstrap/CoreBootstrap.java
+++ b/src/main/java/org/otterpond/control/bootstrap/CoreBootstrap.java
@@ -182,7 +182,7 @@
             primary,
             members.subList(1, members.size()),
             Comparator.comparing(members::indexOf),
-            faultTolerance.copies());
+            faultTolerance.backupCount());
     String fleet = Long.toHexString(runtime.random(Long.MAX_VALUE));
     return new EpochRecord(fleet, FIRST_EPOCH, primary, backups, members, members.size());
   }
--- a/src/main/java/org/otterpond/control/epoch/BackupRole.java
+++ b/src/main/java/org/otterpond/control/epoch/BackupRole.java
@@ -92,7 +92,7 @@
 
   /** Reports to a ping that this backup cannot follow, so that nobody waits for a batch. */
   void onPingOfFollowedEpoch(String from, long epoch) {
-    if (positionLost && votes.acceptedRecord().rankOf(context.self().diskId()) >= 0) {
+    if (positionLost && votes.acceptedRecord().backupRank(context.self().diskId()) >= 0) {
       reportPositionLost(from, epoch);
     }
   }
@@ -131,7 +131,7 @@
   }
 
   private boolean isInKnownGroup() {
-    return known.newest().inGroup(context.self().diskId());
+    return known.newest().isInGroup(context.self().diskId());
   }
 
   /** The backups take their turns, so that they do not outbid each other. */
@@ -140,7 +140,7 @@
   }
 
   private long turnDelay(EpochRecord record) {
-    int rank = Math.max(0, record.rankOf(context.self().diskId()));
+    int rank = Math.max(0, record.backupRank(context.self().diskId()));
     return rank * context.timeouts().rankStepMicros()
         + (transitions.leave().isLeaving() ? LEAVING_DELAY_MICROS : 0);
   }
--- a/src/main/java/org/otterpond/control/epoch/BackupSelection.java
+++ b/src/main/java/org/otterpond/control/epoch/BackupSelection.java
@@ -60,7 +60,7 @@
 
   /** How many backups an epoch with these members must have. */
   int backupCount(List<CoreMember> members) {
-    return Math.min(context.faultTolerance().copies(), members.size() - 1);
+    return Math.min(context.faultTolerance().backupCount(), members.size() - 1);
   }
 
   /**
@@ -72,7 +72,7 @@
     Comparator<CoreMember> preference =
         Comparator.comparing(this::isLeaving)
             .thenComparing(this::isExcluded)
-            .thenComparing(member -> !base.inGroup(member.diskId()));
+            .thenComparing(member -> !base.isInGroup(member.diskId()));
     return context
         .faultTolerance()
         .backups(context.self(), preferred(candidates, count), preference, count);
--- a/src/main/java/org/otterpond/control/epoch/CandidateRole.java
+++ b/src/main/java/org/otterpond/control/epoch/CandidateRole.java
@@ -84,7 +84,7 @@
 
   private long nextEpoch(EpochRecord base) {
     long highest = Math.max(Math.max(votes.promisedEpoch(), known.highestEpoch()), base.epoch());
-    int position = Math.max(0, base.indexOf(context.self().diskId()));
+    int position = Math.max(0, base.memberIndex(context.self().diskId()));
     return (highest / EPOCH_STEP + 1) * EPOCH_STEP + position;
   }
 
@@ -159,7 +159,7 @@
     if (accepted != null && accepted.epoch() > current.base().epoch()) {
       transitions.learn(accepted);
       current.rebase(accepted);
-      if (!accepted.inGroup(context.self().diskId())) {
+      if (!accepted.isInGroup(context.self().diskId())) {
         transitions.abandonCandidacy("not_in_group");
         return;
       }
@@ -198,7 +198,7 @@
   private boolean presentGroupIsComplete(Candidacy current) {
     List<CoreMember> staying =
         usableBackups(current).stream()
-            .filter(m -> current.base().inGroup(m.diskId()) && selection.isSound(m))
+            .filter(m -> current.base().isInGroup(m.diskId()) && selection.isSound(m))
             .toList();
     return staying.size() >= backupCount(current) && selection.isSpread(staying);
   }
--- a/src/main/java/org/otterpond/control/epoch/EpochListener.java
+++ b/src/main/java/org/otterpond/control/epoch/EpochListener.java
@@ -17,5 +17,5 @@
   void steppedDown();
 
   /** A newer epoch is known, whoever its primary is. */
-  void learnt(EpochRecord record);
+  void onRecordLearned(EpochRecord record);
 }
--- a/src/main/java/org/otterpond/control/epoch/EpochReplica.java
+++ b/src/main/java/org/otterpond/control/epoch/EpochReplica.java
@@ -120,7 +120,7 @@
   }
 
   /** Returns whether this node has ever accepted a record. */
-  public boolean chartered() {
+  public boolean hasRecord() {
     return votes.acceptedRecord() != null;
   }
 
@@ -150,20 +150,20 @@
   }
 
   /** Returns the newest committed configuration, or null. */
-  public CompressedText committedText() {
+  public CompressedText committedConfiguration() {
     return configuration.text();
   }
 
   /** Returns the newest committed configuration as it is sent to nodes, or null. */
-  public byte[] packedText() {
-    return configuration.text() == null ? null : configuration.text().packed();
+  public byte[] compressedConfiguration() {
+    return configuration.text() == null ? null : configuration.text().compressed();
   }
 
   /**
    * Takes the founding record, which the seeds have decided. A node that has promised or accepted
    * anything ignores it.
    */
-  public void found(EpochRecord first) {
+  public void acceptFirstRecord(EpochRecord first) {
     if (!votes.isBlank()) {
       return;
     }
@@ -179,7 +179,7 @@
    * to be heard again, as after a mere reset, in place of the whole time-out of silence.
    */
   public void peerClosed(String address) {
-    if (record() == null || !known().inGroup(context.self().diskId())) {
+    if (record() == null || !known().isInGroup(context.self().diskId())) {
       return;
     }
     if (leading()) {
@@ -230,7 +230,7 @@
    * Returns the newest moment at which this node is known to have been the only possible primary;
    * the distant past if it is not primary.
    */
-  public long followedSince() {
+  public long leadershipProvedAt() {
     return primary.proof().provedAt();
   }
 
@@ -240,22 +240,22 @@
    * one before the last granted is in use no more. So grants of at most two primaries are in use at
    * any time.
    */
-  public boolean mayGive() {
-    return authoritative() && context.now() >= givingFrom();
+  public boolean mayGrantTokens() {
+    return hasFreshProof() && context.now() >= grantsTokensFrom();
   }
 
   /** Returns whether this node is primary and nobody else can be by now. */
-  public boolean authoritative() {
+  public boolean hasFreshProof() {
     return primary.proof().isFresh();
   }
 
   /** Returns from when on no primary before this one acts on its authority. */
-  public long quietUntil() {
+  public long formerAuthorityEndsAt() {
     return transitions.formerPrimaries().authorityEndsAt();
   }
 
   /** Returns from when on this node may, as primary, grant what stays in use for a while. */
-  public long givingFrom() {
+  public long grantsTokensFrom() {
     return transitions.formerPrimaries().grantsFrom();
   }
 
--- a/src/main/java/org/otterpond/control/epoch/EpochTransitions.java
+++ b/src/main/java/org/otterpond/control/epoch/EpochTransitions.java
@@ -130,7 +130,7 @@
     if (isCandidate() && record.epoch() > candidate.candidacy().epoch()) {
       candidate.drop();
     }
-    listener.learnt(record);
+    listener.onRecordLearned(record);
   }
 
   /** Accepts the record of this node's own candidacy. */
@@ -227,7 +227,7 @@
                 + " members="
                 + record.members().size()
                 + " key_locks="
-                + context.state().claimCount()
+                + context.state().keyLockCount()
                 + " revision="
                 + context.state().revision());
     FaultTolerance tolerance = context.faultTolerance();
--- a/src/main/java/org/otterpond/control/epoch/LeaveProcess.java
+++ b/src/main/java/org/otterpond/control/epoch/LeaveProcess.java
@@ -32,7 +32,7 @@
   boolean isNeeded() {
     EpochRecord newest = transitions.known().newest();
     return transitions.record() != null
-        && newest.inGroup(context.self().diskId())
+        && newest.isInGroup(context.self().diskId())
         && newest.members().size() > 1;
   }
 
@@ -56,7 +56,7 @@
     EpochRecord newest = transitions.known().newest();
     if (transitions.isPrimary()) {
       transitions.resign();
-    } else if (newest.rankOf(context.self().diskId()) >= 0) {
+    } else if (newest.backupRank(context.self().diskId()) >= 0) {
       context.send(newest.primary().address(), new LeaveNotice(context.self().diskId()));
     } else if (newest.epoch() == resignedEpoch) {
       sendResignNotice(newest);
--- a/src/main/java/org/otterpond/control/epoch/PrimaryRole.java
+++ b/src/main/java/org/otterpond/control/epoch/PrimaryRole.java
@@ -169,7 +169,7 @@
   void onReplicateResponse(ReplicateResponse response) {
     if (!transitions.isActivePrimary()
         || transitions.record().epoch() != response.epoch()
-        || transitions.record().rankOf(response.diskId()) < 0) {
+        || transitions.record().backupRank(response.diskId()) < 0) {
       return;
     }
     liveness.backupHeard(response.diskId());
@@ -200,7 +200,7 @@
     EpochRecord record = transitions.record();
     String diskId = pong.status().diskId();
     boolean follows =
-        record.rankOf(diskId) >= 0 && pong.promisedEpoch().orElse(0) <= record.epoch();
+        record.backupRank(diskId) >= 0 && pong.promisedEpoch().orElse(0) <= record.epoch();
     liveness.onPong(pong, follows);
     selection.setLeaving(diskId, pong.status().leaving());
     if (pong.status().diskFailed()) {
--- a/src/main/java/org/otterpond/control/epoch/SnapshotInstaller.java
+++ b/src/main/java/org/otterpond/control/epoch/SnapshotInstaller.java
@@ -71,7 +71,7 @@
   private void install(SnapshotChunkRequest request, byte[] packedState) {
     WireRecord state;
     try {
-      state = CompressedPayload.unpack(packedState);
+      state = CompressedPayload.decompress(packedState);
     } catch (ProtocolException e) {
       // The state in force stays; the candidate gets no response and goes on without this member.
       context
--- a/src/main/java/org/otterpond/control/epoch/message/SnapshotRecord.java
+++ b/src/main/java/org/otterpond/control/epoch/message/SnapshotRecord.java
@@ -31,7 +31,7 @@
    */
   public static WireRecord stateOf(WireRecord encoded) throws ProtocolException {
     return encoded.has(PACKED_STATE)
-        ? CompressedPayload.unpack(encoded.requiredBytes(PACKED_STATE))
+        ? CompressedPayload.decompress(encoded.requiredBytes(PACKED_STATE))
         : encoded;
   }
 
--- a/src/main/java/org/otterpond/control/message/CompressedBytes.java
+++ b/src/main/java/org/otterpond/control/message/CompressedBytes.java
@@ -47,7 +47,7 @@
    * @throws ProtocolException if the bytes are no compressed text
    */
   public String text() throws ProtocolException {
-    return CompressedPayload.unpackText(bytes);
+    return CompressedPayload.decompressText(bytes);
   }
 
   /**
@@ -56,7 +56,7 @@
    * @throws ProtocolException if the bytes are no compressed record
    */
   public WireRecord record() throws ProtocolException {
-    return CompressedPayload.unpack(bytes);
+    return CompressedPayload.decompress(bytes);
   }
 
   @Override
--- a/src/main/java/org/otterpond/control/message/WorkerReport.java
+++ b/src/main/java/org/otterpond/control/message/WorkerReport.java
@@ -39,7 +39,8 @@
    * @param nowMicros the sender's monotonic time
    */
   public static WorkerReport of(WorkerInstance worker, long nowMicros) {
-    return new WorkerReport(withSlowStart(worker, Math.max(0, worker.warmUntil() - nowMicros)));
+    return new WorkerReport(
+        withSlowStart(worker, Math.max(0, worker.slowStartEndMicros() - nowMicros)));
   }
 
   /** Returns the reports of several workers at the same time. */
@@ -98,7 +99,7 @@
    * @param nowMicros the reader's monotonic time
    */
   public WorkerInstance worker(long nowMicros) {
-    return withSlowStart(relative, nowMicros + relative.warmUntil());
+    return withSlowStart(relative, nowMicros + relative.slowStartEndMicros());
   }
 
   @Override
--- a/src/main/java/org/otterpond/control/primary/ConfigurationChanges.java
+++ b/src/main/java/org/otterpond/control/primary/ConfigurationChanges.java
@@ -84,7 +84,7 @@
       if (active.checked() != null) {
         use(active);
       }
-    } else if (replica.committedText() != null) {
+    } else if (replica.committedConfiguration() != null) {
       parseCommitted(revision);
     }
   }
@@ -95,7 +95,8 @@
   }
 
   private void parseCommitted(long revision) {
-    ConfigurationUpdate update = ConfigurationUpdate.complete(revision, replica.packedText());
+    ConfigurationUpdate update =
+        ConfigurationUpdate.complete(revision, replica.compressedConfiguration());
     ConfigurationUpdateParser parser =
         new ConfigurationUpdateParser(update.toWireRecord(), ParsedConfiguration.NONE);
     ConfigurationParsing.run(
@@ -133,13 +134,13 @@
     proof.confirm(
         proved -> {
           if (proved) {
-            reply.accept(committedText());
+            reply.accept(committedConfiguration());
           }
         });
   }
 
-  private ReadConfigurationReply committedText() {
-    byte[] text = replica.packedText();
+  private ReadConfigurationReply committedConfiguration() {
+    byte[] text = replica.compressedConfiguration();
     return new ReadConfigurationReply(
         replica.committedRevision(), text == null ? null : CompressedBytes.of(text));
   }
@@ -180,7 +181,7 @@
     boolean newestIsCommitted = newest != null && newest.revision() == replica.committedRevision();
     ConfigurationWriteParser parser =
         new ConfigurationWriteParser(
-            kind, text, newestIsCommitted ? newest : null, replica.committedText());
+            kind, text, newestIsCommitted ? newest : null, replica.committedConfiguration());
     ConfigurationParsing.run(
         runtime,
         parser.isLong(),
--- a/src/main/java/org/otterpond/control/primary/ConfigurationWriteParser.java
+++ b/src/main/java/org/otterpond/control/primary/ConfigurationWriteParser.java
@@ -45,7 +45,7 @@
 
   /** Whether parsing should run off the owner thread. */
   boolean isLong() {
-    int currentLength = modifies && currentText != null ? currentText.packed().length : 0;
+    int currentLength = modifies && currentText != null ? currentText.compressed().length : 0;
     return ParsedConfiguration.isLong(text.length(), currentLength);
   }
 
--- a/src/main/java/org/otterpond/control/primary/ControlPlaneSettings.java
+++ b/src/main/java/org/otterpond/control/primary/ControlPlaneSettings.java
@@ -8,14 +8,14 @@
  *
  * @param heartbeatMicros time between the heartbeats of a worker
  * @param keyWindowMicros how long the lock of an idempotency key lasts
- * @param losses which faults at once the core must survive
+ * @param faultTolerance which faults at once the core must survive
  * @param quota settings of the quotas
  * @param hold settings of the leases of key ranges
  */
 public record ControlPlaneSettings(
     long heartbeatMicros,
     long keyWindowMicros,
-    FaultTolerance losses,
+    FaultTolerance faultTolerance,
     QuotaSettings quota,
     KeyRangeLeaseSettings hold) {
   /** Nodes use tokens for this much less than the owner counts them as outstanding. */
@@ -26,11 +26,14 @@
 
   /** Creates settings of a deployment in which no service is partitioned by key. */
   public ControlPlaneSettings(
-      long heartbeatMicros, long keyWindowMicros, FaultTolerance losses, QuotaSettings quota) {
+      long heartbeatMicros,
+      long keyWindowMicros,
+      FaultTolerance faultTolerance,
+      QuotaSettings quota) {
     this(
         heartbeatMicros,
         keyWindowMicros,
-        losses,
+        faultTolerance,
         quota,
         KeyRangeLeaseSettings.of(DEFAULT_KEY_RANGE_LEASE_MICROS, DEFAULT_KEY_RANGE_THAW_MICROS));
   }
--- a/src/main/java/org/otterpond/control/primary/CoreMembership.java
+++ b/src/main/java/org/otterpond/control/primary/CoreMembership.java
@@ -171,7 +171,7 @@
     List<CoreMember> members = epoch.members();
     CoreMember candidate = bestCandidate(members, joinable, null);
     if (candidate != null
-        && members.size() < faults.mostMembers()
+        && members.size() < faults.maxMembers()
         && faults.margin(changed(members, candidate, null)) >= 0) {
       change(epoch, candidate, null);
     }
--- a/src/main/java/org/otterpond/control/primary/DataPlane.java
+++ b/src/main/java/org/otterpond/control/primary/DataPlane.java
@@ -46,7 +46,7 @@
    * Returns and resets the number of requests by key of partitioned services, which are reported
    * with the next poll.
    */
-  default List<WireRecord> heat() {
+  default List<WireRecord> takeKeyLoads() {
     return List.of();
   }
 
--- a/src/main/java/org/otterpond/control/primary/IdempotencyKeyLocks.java
+++ b/src/main/java/org/otterpond/control/primary/IdempotencyKeyLocks.java
@@ -42,13 +42,13 @@
   }
 
   /** Handles a request for a lock. */
-  void claim(ClaimKeyRequest request, Consumer<PrimaryReply> reply) {
+  void keyLock(ClaimKeyRequest request, Consumer<PrimaryReply> reply) {
     List<Consumer<PrimaryReply>> pending = pendingReplies.get(request.token());
     if (pending != null) {
       pending.add(reply);
       return;
     }
-    IdempotencyKeyLock lock = state.claim(request.key());
+    IdempotencyKeyLock lock = state.keyLock(request.key());
     if (lock != null) {
       proof.confirmed(reply).accept(replyOf(lock, request));
       return;
@@ -92,7 +92,7 @@
 
   private ClaimKeyReply committedReply(ClaimKeyRequest request, TokenGrant grant) {
     // Two requests for a key may both be pending while an epoch changes: the later entry wins.
-    IdempotencyKeyLock lock = state.claim(request.key());
+    IdempotencyKeyLock lock = state.keyLock(request.key());
     if (lock == null) {
       return ClaimKeyReply.heldBy(null, null);
     }
@@ -106,7 +106,7 @@
    * committed, or if there is nothing to release.
    */
   void release(ReleaseKeyRequest request, Consumer<PrimaryReply> reply) {
-    IdempotencyKeyLock lock = state.claim(request.key());
+    IdempotencyKeyLock lock = state.keyLock(request.key());
     if (lock != null && lock.token().equals(request.token())) {
       writer.propose(
           LogEntries.keyRelease(request.key(), request.token()),
--- a/src/main/java/org/otterpond/control/primary/PartitionAssignments.java
+++ b/src/main/java/org/otterpond/control/primary/PartitionAssignments.java
@@ -27,7 +27,7 @@
 
   /** Returns the replica groups of all partitions. */
   static List<GroupConfiguration> all(Assignments assignments) {
-    return assignments.under(ReplicaPlacement.PARTITION).stream()
+    return assignments.withPrefix(ReplicaPlacement.PARTITION).stream()
         .map(GroupConfiguration::of)
         .toList();
   }
--- a/src/main/java/org/otterpond/control/primary/PollHandler.java
+++ b/src/main/java/org/otterpond/control/primary/PollHandler.java
@@ -87,7 +87,7 @@
   /** Handles a poll as the primary. */
   void handle(String from, NodePoll poll) {
     NodeLease lease = leases.renew(from, poll);
-    poll.reports().keyLoads().forEach(services.keyRanges()::reported);
+    poll.reports().keyLoads().forEach(services.keyRanges()::onLoadReport);
     services.workers().reports().report(poll.reports().workers());
     responder.noteKnownWorkers(lease);
     services.workers().drains().sendDue();
--- a/src/main/java/org/otterpond/control/primary/PollResponder.java
+++ b/src/main/java/org/otterpond/control/primary/PollResponder.java
@@ -93,7 +93,8 @@
   void respondIfDue(String address, NodeLease lease) {
     long now = runtime.now();
     boolean authorityImproved =
-        lease.isAuthorityDoubtful() && now - replica.followedSince() < DOUBTFUL_AUTHORITY_MICROS;
+        lease.isAuthorityDoubtful()
+            && now - replica.leadershipProvedAt() < DOUBTFUL_AUTHORITY_MICROS;
     if (lease.isResponsePending()
         && (authorityImproved || now - lease.polledAtMicros() > LONGEST_POLL_MICROS)) {
       respond(address, lease);
@@ -133,7 +134,7 @@
   }
 
   private void respond(String address, NodeLease lease) {
-    long authorityAge = Math.max(0, lease.polledAtMicros() - replica.followedSince());
+    long authorityAge = Math.max(0, lease.polledAtMicros() - replica.leadershipProvedAt());
     PollResponse response =
         new PollResponse(
             header(lease, authorityAge),
@@ -165,7 +166,7 @@
 
   private ConfigurationUpdate configuration(NodeLease lease) {
     NodePoll poll = lease.poll();
-    byte[] text = replica.packedText();
+    byte[] text = replica.compressedConfiguration();
     long revision = replica.committedRevision();
     List<ConfigurationChange> changes =
         poll.acceptsChanges()
--- a/src/main/java/org/otterpond/control/primary/PrimaryKeyRangeRuntime.java
+++ b/src/main/java/org/otterpond/control/primary/PrimaryKeyRangeRuntime.java
@@ -48,13 +48,13 @@
   }
 
   @Override
-  public boolean authority() {
-    return replica.authoritative();
+  public boolean hasAuthority() {
+    return replica.hasFreshProof();
   }
 
   @Override
-  public long successorFrom() {
-    return replica.quietUntil();
+  public long predecessorAuthorityEndsAt() {
+    return replica.formerAuthorityEndsAt();
   }
 
   @Override
--- a/src/main/java/org/otterpond/control/primary/PrimaryServices.java
+++ b/src/main/java/org/otterpond/control/primary/PrimaryServices.java
@@ -74,12 +74,13 @@
     assignments = new CommittedAssignments(replica::propose, this::respondSoon);
     workers =
         new WorkerServices(runtime, replica, leases, settings.heartbeatMicros(), this::respondSoon);
-    partitions = new PartitionServices(runtime, replica, assignments, leases, settings.losses());
+    partitions =
+        new PartitionServices(runtime, replica, assignments, leases, settings.faultTolerance());
     configuration = new ConfigurationChanges(runtime, replica, proof, new ConfigurationListener());
     quotaOwner = new QuotaOwner(settings.quota());
     quotaLending = new QuotaLending(runtime, core, quotaOwner);
     keyLocks = new IdempotencyKeyLocks(replica.hold(), replica::propose, proof, quotaLending);
-    membership = new CoreMembership(runtime, core, settings.losses());
+    membership = new CoreMembership(runtime, core, settings.faultTolerance());
     keyRanges = createKeyRanges(dataPlane, settings);
     responder = createResponder();
     polls =
@@ -108,7 +109,7 @@
   }
 
   private void registerHandlers() {
-    dispatcher.register(ClaimKeyRequest.class, keyLocks::claim);
+    dispatcher.register(ClaimKeyRequest.class, keyLocks::keyLock);
     dispatcher.register(ReleaseKeyRequest.class, keyLocks::release);
     dispatcher.register(LendTokensRequest.class, quotaLending::lend);
     dispatcher.register(WriteConfigurationRequest.class, configuration::write);
@@ -147,7 +148,7 @@
     partitions.began();
     configuration.began(active);
     workers.began();
-    keyRanges.began(assignments.current().under(KeyRange.PREFIX), continued);
+    keyRanges.began(assignments.current().withPrefix(KeyRange.PREFIX), continued);
     polls.began();
   }
 
--- a/src/main/java/org/otterpond/control/primary/QuotaOwner.java
+++ b/src/main/java/org/otterpond/control/primary/QuotaOwner.java
@@ -32,7 +32,7 @@
   }
 
   /** Returns the name under which tokens of a service's rate limit are lent; no tenant has it. */
-  public static String ceilingOf(String service) {
+  public static String rateLimitAccount(String service) {
     return RATE_LIMIT_PREFIX + service;
   }
 
@@ -50,7 +50,7 @@
       }
     }
     for (Tenant tenant : configuration.tenants()) {
-      if (tenant.limited()) {
+      if (tenant.hasRateLimit()) {
         configureQuota(tenant, nowMicros);
       }
     }
@@ -59,7 +59,7 @@
 
   private void configureRateLimit(Service service, long nowMicros) {
     double burst = settings.rateLimitPart(service.ratePerSecond());
-    bucket(ceilingOf(service.name()), nowMicros)
+    bucket(rateLimitAccount(service.name()), nowMicros)
         .configure(service.ratePerSecond(), burst, burst, nowMicros);
   }
 
@@ -77,7 +77,7 @@
 
   private TokenBucket bucket(String name, long nowMicros) {
     return buckets.computeIfAbsent(
-        name, key -> new TokenBucket(key, settings.lentMicros(), nowMicros));
+        name, key -> new TokenBucket(key, settings.tokenLeaseMicros(), nowMicros));
   }
 
   /**
--- a/src/main/java/org/otterpond/control/primary/QuotaSettings.java
+++ b/src/main/java/org/otterpond/control/primary/QuotaSettings.java
@@ -17,7 +17,7 @@
  * @param windowMicros the window of the tenants' limits
  * @param excess the excess of the tenants' limits
  * @param slack the slack of the tenants' limits, in requests
- * @param lentMicros how long lent tokens may be used
+ * @param tokenLeaseMicros how long lent tokens may be used
  * @param ceilingWindowMicros the window of the services' rate limits
  * @param ceilingExcess the excess of the services' rate limits
  */
@@ -25,7 +25,7 @@
     long windowMicros,
     double excess,
     double slack,
-    long lentMicros,
+    long tokenLeaseMicros,
     long ceilingWindowMicros,
     double ceilingExcess) {
   private static final double MICROS_PER_SECOND = 1e6;
@@ -43,8 +43,8 @@
   private static final long DEFAULT_RATE_LIMIT_WINDOW_MICROS = 5_000_000;
 
   /** Creates settings of a deployment whose services have no rate limits. */
-  public QuotaSettings(long windowMicros, double excess, double slack, long lentMicros) {
-    this(windowMicros, excess, slack, lentMicros, DEFAULT_RATE_LIMIT_WINDOW_MICROS, 0);
+  public QuotaSettings(long windowMicros, double excess, double slack, long tokenLeaseMicros) {
+    this(windowMicros, excess, slack, tokenLeaseMicros, DEFAULT_RATE_LIMIT_WINDOW_MICROS, 0);
   }
 
   /**
--- a/src/main/java/org/otterpond/control/primary/ReplicaAdapter.java
+++ b/src/main/java/org/otterpond/control/primary/ReplicaAdapter.java
@@ -35,11 +35,11 @@
 
   @Override
   public boolean mayLend() {
-    return replica.mayGive();
+    return replica.mayGrantTokens();
   }
 
   @Override
   public long lendingFromMicros() {
-    return replica.givingFrom();
+    return replica.grantsTokensFrom();
   }
 }
--- a/src/main/java/org/otterpond/control/primary/ReplicaBalancer.java
+++ b/src/main/java/org/otterpond/control/primary/ReplicaBalancer.java
@@ -78,7 +78,7 @@
     wanted.add(to.member());
     load.merge(from.member(), -1, Integer::sum);
     load.merge(to.member(), 1, Integer::sum);
-    return group.wanting(wanted);
+    return group.withWantedMembers(wanted);
   }
 
   private int loadOf(StorageNode node) {
--- a/src/main/java/org/otterpond/control/primary/ReplicaPlacement.java
+++ b/src/main/java/org/otterpond/control/primary/ReplicaPlacement.java
@@ -213,7 +213,7 @@
     wanted.stream()
         .filter(member -> !group.wanted().contains(member))
         .forEach(member -> load.merge(member, 1, Integer::sum));
-    write(group.wanting(wanted), partitionCount);
+    write(group.withWantedMembers(wanted), partitionCount);
     return true;
   }
 
--- a/src/main/java/org/otterpond/control/primary/StatusReport.java
+++ b/src/main/java/org/otterpond/control/primary/StatusReport.java
@@ -57,7 +57,7 @@
     return new StatusReply(
         confirmed,
         new StatusReply.Core(replica.record(), silentMembers()),
-        new StatusReply.State(replica.committedRevision(), replica.hold().claimCount()),
+        new StatusReply.State(replica.committedRevision(), replica.hold().keyLockCount()),
         fleet(),
         new StatusReply.Resources(
             sources.quotas().status(runtime.now()),
--- a/src/main/java/org/otterpond/control/primary/WorkerRegistry.java
+++ b/src/main/java/org/otterpond/control/primary/WorkerRegistry.java
@@ -78,7 +78,7 @@
   long checksum() {
     if (checksumVersion != version) {
       checksum = 0;
-      entries.values().forEach(entry -> checksum += entry.worker.sum());
+      entries.values().forEach(entry -> checksum += entry.worker.checksum());
       checksumVersion = version;
     }
     return checksum;
@@ -104,7 +104,7 @@
     if (!merged.equals(entry.worker)) {
       entry.heardAtMicros = nowMicros;
     }
-    boolean changed = merged.differs(entry.worker);
+    boolean changed = merged.changesRoutingOf(entry.worker);
     entry.worker = merged;
     if (changed) {
       entry.version = ++version;
--- a/src/main/java/org/otterpond/control/state/Assignments.java
+++ b/src/main/java/org/otterpond/control/state/Assignments.java
@@ -42,7 +42,7 @@
   }
 
   /** Returns the assignments in force whose keys start with the prefix. */
-  public List<WireRecord> under(String prefix) {
+  public List<WireRecord> withPrefix(String prefix) {
     List<WireRecord> found = new ArrayList<>();
     for (AssignmentEntry entry : entries.values()) {
       if (entry.key().startsWith(prefix) && !entry.released()) {
--- a/src/main/java/org/otterpond/control/state/CompressedText.java
+++ b/src/main/java/org/otterpond/control/state/CompressedText.java
@@ -42,7 +42,7 @@
   }
 
   /** Returns the compressed form, which must not be changed. */
-  public byte[] packed() {
+  public byte[] compressed() {
     return compressed;
   }
 
@@ -53,7 +53,7 @@
    */
   public String unpacked() {
     try {
-      return CompressedPayload.unpackText(compressed);
+      return CompressedPayload.decompressText(compressed);
     } catch (ProtocolException e) {
       throw new IllegalStateException("configuration text cannot be decompressed", e);
     }
--- a/src/main/java/org/otterpond/control/state/ConfigurationParsing.java
+++ b/src/main/java/org/otterpond/control/state/ConfigurationParsing.java
@@ -19,7 +19,7 @@
    */
   public static void run(NodeRuntime runtime, boolean isLong, Runnable parser, Runnable then) {
     if (isLong) {
-      runtime.apart(parser, then);
+      runtime.runOffThread(parser, then);
     } else {
       parser.run();
       then.run();
--- a/src/main/java/org/otterpond/control/state/ConfigurationUpdate.java
+++ b/src/main/java/org/otterpond/control/state/ConfigurationUpdate.java
@@ -71,7 +71,7 @@
     }
 
     String decompressed() throws ProtocolException {
-      return CompressedPayload.unpackText(compressed);
+      return CompressedPayload.decompressText(compressed);
     }
   }
 
--- a/src/main/java/org/otterpond/control/state/EpochRecord.java
+++ b/src/main/java/org/otterpond/control/state/EpochRecord.java
@@ -141,21 +141,21 @@
 
   /** Returns whether the disk is a member. */
   public boolean hasMember(String diskId) {
-    return indexOf(diskId) != ABSENT;
+    return memberIndex(diskId) != ABSENT;
   }
 
   /** Returns whether the disk is the primary or a backup. */
-  public boolean inGroup(String diskId) {
-    return primary.diskId().equals(diskId) || rankOf(diskId) != ABSENT;
+  public boolean isInGroup(String diskId) {
+    return primary.diskId().equals(diskId) || backupRank(diskId) != ABSENT;
   }
 
   /** Returns the position among the backups, or -1 if the disk is none of them. */
-  public int rankOf(String diskId) {
+  public int backupRank(String diskId) {
     return position(backups, diskId);
   }
 
   /** Returns the position among the members, or -1 if the disk is none of them. */
-  public int indexOf(String diskId) {
+  public int memberIndex(String diskId) {
     return position(members, diskId);
   }
 
--- a/src/main/java/org/otterpond/control/state/FaultTolerance.java
+++ b/src/main/java/org/otterpond/control/state/FaultTolerance.java
@@ -30,13 +30,13 @@
   }
 
   /** Returns the number of backups of an epoch: one for each machine, zone or region to lose. */
-  public int copies() {
+  public int backupCount() {
     return Math.max(machines, Math.max(zones, regions));
   }
 
   /** Returns the largest number of members; more would not tolerate further losses. */
-  public int mostMembers() {
-    return Math.max(USUAL_MAX_MEMBERS, 2 * copies() + 1);
+  public int maxMembers() {
+    return Math.max(USUAL_MAX_MEMBERS, 2 * backupCount() + 1);
   }
 
   private String region(CoreMember member) {
@@ -121,7 +121,7 @@
    */
   public List<CoreMember> members(List<CoreMember> available) {
     List<CoreMember> chosen = new ArrayList<>(available);
-    while (chosen.size() > mostMembers()) {
+    while (chosen.size() > maxMembers()) {
       chosen.remove(leastNeeded(chosen));
     }
     List<CoreMember> best = List.copyOf(chosen);
--- a/src/main/java/org/otterpond/control/state/ReplicatedState.java
+++ b/src/main/java/org/otterpond/control/state/ReplicatedState.java
@@ -76,12 +76,12 @@
   }
 
   /** Returns the number of locked idempotency keys. */
-  public int claimCount() {
+  public int keyLockCount() {
     return keyLocks.size();
   }
 
   /** Returns the lock of an idempotency key, or null. */
-  public IdempotencyKeyLock claim(String key) {
+  public IdempotencyKeyLock keyLock(String key) {
     return keyLocks.get(key);
   }
 
--- a/src/main/java/org/otterpond/control/state/WorkerInstance.java
+++ b/src/main/java/org/otterpond/control/state/WorkerInstance.java
@@ -16,7 +16,7 @@
  * @param slots number of requests that it serves at one time
  * @param state the state
  * @param sequence number of the heartbeat
- * @param warmUntil end of the slow start, in microseconds of the local monotonic clock
+ * @param slowStartEndMicros end of the slow start, in microseconds of the local monotonic clock
  */
 public record WorkerInstance(
     String id,
@@ -27,7 +27,7 @@
     int slots,
     WorkerState state,
     long sequence,
-    long warmUntil) {
+    long slowStartEndMicros) {
   /** The encoded kind of an instance in worker tables. */
   public static final String KIND = "vessel";
 
@@ -68,7 +68,7 @@
         .with(SLOTS, slots)
         .with(STATE, state.name())
         .with(SEQUENCE, sequence)
-        .with(SLOW_START_MICROS, Math.max(0, warmUntil - nowMicros));
+        .with(SLOW_START_MICROS, Math.max(0, slowStartEndMicros - nowMicros));
   }
 
   /**
@@ -117,7 +117,7 @@
   /** Returns this instance in another state. */
   public WorkerInstance in(WorkerState other) {
     return new WorkerInstance(
-        id, service, address, zone, revision, slots, other, sequence, warmUntil);
+        id, service, address, zone, revision, slots, other, sequence, slowStartEndMicros);
   }
 
   /** Returns this instance with another end of its slow start, in microseconds. */
@@ -155,7 +155,7 @@
    * Returns a hash of what routing depends on; the sum over all instances tells whether two worker
    * tables are equal. It is 0 for an instance that has ended.
    */
-  public long sum() {
+  public long checksum() {
     if (state.compareTo(WorkerState.LOST) >= 0) {
       return ENDED_HASH;
     }
@@ -167,7 +167,7 @@
   }
 
   /** Returns whether routing has to know this description in place of {@code old}, or of null. */
-  public boolean differs(WorkerInstance old) {
+  public boolean changesRoutingOf(WorkerInstance old) {
     return old == null
         || old.state != state
         || old.slots != slots
--- a/src/main/java/org/otterpond/keyrange/KeyRangeManager.java
+++ b/src/main/java/org/otterpond/keyrange/KeyRangeManager.java
@@ -62,7 +62,8 @@
     }
     long nowMicros = runtime.now();
     long mayBeHeldUntil =
-        Math.max(nowMicros, runtime.successorFrom()) + settings.longestOfPredecessorMicros();
+        Math.max(nowMicros, runtime.predecessorAuthorityEndsAt())
+            + settings.longestOfPredecessorMicros();
     for (WireRecord entry : written) {
       KeyRangeLease lease = new KeyRangeLease(KeyRange.of(entry));
       lease.mayBeHeldUntil = mayBeHeldUntil;
@@ -80,7 +81,7 @@
   }
 
   /** Takes a node's report of requests by key; a malformed one is logged and dropped. */
-  public void reported(WireRecord encoded) {
+  public void onLoadReport(WireRecord encoded) {
     try {
       KeyLoadReport report = KeyLoadReport.of(encoded);
       loads.keyLoad(report.service()).add(report);
@@ -96,7 +97,7 @@
       return;
     }
     steppedAtMicros = nowMicros;
-    if (!runtime.authority()) {
+    if (!runtime.hasAuthority()) {
       return;
     }
     grants.beginStep();
--- a/src/main/java/org/otterpond/keyrange/KeyRangeRuntime.java
+++ b/src/main/java/org/otterpond/keyrange/KeyRangeRuntime.java
@@ -30,10 +30,10 @@
   }
 
   /** Returns whether this node is the primary and nobody else can be at this moment. */
-  boolean authority();
+  boolean hasAuthority();
 
   /** Returns the time from which on no earlier primary has authority, in microseconds. */
-  long successorFrom();
+  long predecessorAuthorityEndsAt();
 
   /**
    * Calls a worker.
--- a/src/main/java/org/otterpond/keyrange/LeaseGrants.java
+++ b/src/main/java/org/otterpond/keyrange/LeaseGrants.java
@@ -45,7 +45,7 @@
   /** Grants or renews a lease, whose owner and fencing token are durable. */
   void grant(KeyRangeLease lease) {
     boolean grantable = lease.state == KeyRangeState.GRANTING || lease.state == KeyRangeState.HELD;
-    if (!runtime.authority() || lease.writing || !grantable) {
+    if (!runtime.hasAuthority() || lease.writing || !grantable) {
       return;
     }
     callsInStep++;
--- a/src/main/java/org/otterpond/keyrange/LeaseHandover.java
+++ b/src/main/java/org/otterpond/keyrange/LeaseHandover.java
@@ -61,7 +61,7 @@
   }
 
   private void askOwner(KeyRangeLease lease) {
-    if (!runtime.authority()) {
+    if (!runtime.hasAuthority()) {
       return;
     }
     lease.openCalls++;
@@ -95,7 +95,7 @@
    */
   void assignToReceiver(KeyRangeLease lease, String handoverToken) {
     KeyRangeRuntime.Worker receiver = receivers.loads().receiver(lease.service);
-    if (receiver == null || !runtime.authority()) {
+    if (receiver == null || !runtime.hasAuthority()) {
       return;
     }
     lease.assignTo(receiver, receivers.fences().next(), handoverToken, runtime.now());
--- a/src/main/java/org/otterpond/keyrange/TakeoverDelay.java
+++ b/src/main/java/org/otterpond/keyrange/TakeoverDelay.java
@@ -14,7 +14,7 @@
   /** Returns whether ranges may change their owners. */
   boolean isOver(long nowMicros) {
     return nowMicros
-        > runtime.successorFrom()
+        > runtime.predecessorAuthorityEndsAt()
             + KeyRangeLeaseSettings.GRANT_TIMEOUT_MICROS
             + KeyRangeLeaseSettings.IN_FLIGHT_MICROS;
   }
--- a/src/main/java/org/otterpond/messaging/DeliveryQueue.java
+++ b/src/main/java/org/otterpond/messaging/DeliveryQueue.java
@@ -114,7 +114,7 @@
   private void requestToken() {
     if (tokenRequests < Math.min(MAX_TOKEN_REQUESTS, waiting.size())) {
       tokenRequests++;
-      quota.want(rateLimit, new TokenRequest());
+      quota.acquire(rateLimit, new TokenRequest());
     }
   }
 
--- a/src/main/java/org/otterpond/messaging/DeliveryResultHandler.java
+++ b/src/main/java/org/otterpond/messaging/DeliveryResultHandler.java
@@ -43,13 +43,14 @@
   void responded(DeliveryAttempt attempt, HttpMessage response, long latencyMicros) {
     long now = EventLoop.now();
     int status = response.status();
-    if (response.first(GatewayHeaders.NOT_EXECUTED) != null || status == MISDIRECTED_REQUEST) {
+    if (response.firstHeader(GatewayHeaders.NOT_EXECUTED) != null
+        || status == MISDIRECTED_REQUEST) {
       rejected(attempt, status, now);
       return;
     }
     attempt.endpoint().requestExecuted(now);
     attempt.queue().endpoints().latency().add(latencyMicros);
-    String serverSeal = response.first(GatewayHeaders.SERVER_SEAL);
+    String serverSeal = response.firstHeader(GatewayHeaders.SERVER_SEAL);
     if (status / 100 == 2 && serverSeal != null) {
       metrics.responses.increment();
       end(attempt, MessageState.COMPLETED, serverSeal);
@@ -75,7 +76,7 @@
 
   private void executionFailed(DeliveryAttempt attempt) {
     Message message = attempt.message();
-    store.tried(attempt.partition(), message);
+    store.attemptFailed(attempt.partition(), message);
     if (message.attempts() >= attempt.maxAttempts()) {
       LOG.info("event=message_dead id={} attempts={}", message.id(), message.attempts());
       end(attempt, MessageState.DEAD_LETTER, null);
--- a/src/main/java/org/otterpond/messaging/GroupBeacons.java
+++ b/src/main/java/org/otterpond/messaging/GroupBeacons.java
@@ -76,7 +76,8 @@
     }
     GroupBeacon message =
         new GroupBeacon(
-            new BeaconHeader(member, host.runtime().now(), beacon.number, host.agent().life()),
+            new BeaconHeader(
+                member, host.runtime().now(), beacon.number, host.agent().incarnation()),
             sameVersions ? null : new GroupVersions(host.member(), beacon.versions),
             points);
     host.runtime().send(GroupConfiguration.addressOf(member), message);
@@ -152,7 +153,9 @@
         (group, version) -> {
           PartitionReplica replica = partitions.apply(group);
           if (replica != null && !reply.rejectedGroups().contains(group)) {
-            replica.group().beaconAcknowledged(reply.member(), version, reply.beaconSentAtMicros());
+            replica
+                .group()
+                .onBeaconAcknowledged(reply.member(), version, reply.beaconSentAtMicros());
           }
         });
   }
--- a/src/main/java/org/otterpond/messaging/MessageDispatcher.java
+++ b/src/main/java/org/otterpond/messaging/MessageDispatcher.java
@@ -85,7 +85,8 @@
       queue.configure(null, Integer.MAX_VALUE);
       return;
     }
-    String rateLimit = service.ratePerSecond() > 0 ? QuotaOwner.ceilingOf(serviceName) : null;
+    String rateLimit =
+        service.ratePerSecond() > 0 ? QuotaOwner.rateLimitAccount(serviceName) : null;
     queue.configure(rateLimit, service.maxConnections() / nodes);
   }
 
--- a/src/main/java/org/otterpond/messaging/MessageIngestHandler.java
+++ b/src/main/java/org/otterpond/messaging/MessageIngestHandler.java
@@ -90,6 +90,6 @@
         PutMessageRequest.of(group, request.message(group + "." + uniqueId, configuration));
     submitter.submit(
         new MessageSubmission(exchange, put, request.tenant(), request.timeLeftMicros()),
-        tenant != null && tenant.limited());
+        tenant != null && tenant.hasRateLimit());
   }
 }
--- a/src/main/java/org/otterpond/messaging/MessageQueryHandler.java
+++ b/src/main/java/org/otterpond/messaging/MessageQueryHandler.java
@@ -61,7 +61,7 @@
         bodyWanted
             ? new MessageBodyRequest(group, id, tenantName)
             : new MessageStateRequest(group, id, tenantName);
-    send(exchange, query, exchange.receivedAt() + QUERY_MICROS);
+    send(exchange, query, exchange.receivedAtMicros() + QUERY_MICROS);
   }
 
   /** The id of a message begins with the number of its partition and a dot. */
@@ -80,7 +80,7 @@
       return;
     }
     String primary = partitions.primaryAddress(query.group());
-    agent.askNode(
+    agent.requestNodeOnce(
         primary,
         query.toWireRecord(),
         Math.min(REPLY_TIMEOUT_MICROS, deadlineMicros - now),
--- a/src/main/java/org/otterpond/messaging/MessageRequests.java
+++ b/src/main/java/org/otterpond/messaging/MessageRequests.java
@@ -43,7 +43,7 @@
       reply.accept(new Rejected(Rejected.NOT_PRIMARY));
     } else if (!partition.serving()) {
       reply.accept(new Rejected(Rejected.NOT_SERVING));
-    } else if (storage.nearlyFull() || partition.group().parked() > MAX_QUEUED_UPDATES) {
+    } else if (storage.nearlyFull() || partition.group().queuedUpdates() > MAX_QUEUED_UPDATES) {
       reply.accept(new Rejected(Rejected.FULL));
     } else {
       partition.pendingWrites().write(request.message(), request.entry(), reply);
--- a/src/main/java/org/otterpond/messaging/MessageSender.java
+++ b/src/main/java/org/otterpond/messaging/MessageSender.java
@@ -51,7 +51,7 @@
             queue,
             delivery,
             endpoint,
-            route == null ? DEFAULT_TIMEOUT_MICROS : route.guardMicros(),
+            route == null ? DEFAULT_TIMEOUT_MICROS : route.timeoutMicros(),
             route == null ? 1 : route.maxAttempts());
     endpoint.attemptStarted(EventLoop.now());
     active.began(delivery.partition());
--- a/src/main/java/org/otterpond/messaging/MessageStore.java
+++ b/src/main/java/org/otterpond/messaging/MessageStore.java
@@ -199,7 +199,7 @@
     if (configuration.has(member) || partitions.containsKey(group)) {
       PartitionReplica partition = partition(group);
       partition.group().learn(configuration);
-      if (!partition.group().involved()) {
+      if (!partition.group().isInvolved()) {
         partitions.remove(group);
       }
     }
@@ -270,7 +270,7 @@
   }
 
   /** Counts a failed attempt, on all replicas. */
-  public void tried(MessagePartition messages, Message message) {
+  public void attemptFailed(MessagePartition messages, Message message) {
     PartitionReplica partition = replicaOf(messages);
     message.attempts++;
     if (partition != null && messages.get(message.id()) == message) {
@@ -287,7 +287,7 @@
   }
 
   /** Returns whether this machine leads no partition any more that another could lead. */
-  public boolean handedOver() {
+  public boolean isDrained() {
     for (PartitionReplica partition : partitions.values()) {
       if (partition.primary() && !partition.group().view().secondaries().isEmpty()) {
         return false;
--- a/src/main/java/org/otterpond/messaging/MessageSubmission.java
+++ b/src/main/java/org/otterpond/messaging/MessageSubmission.java
@@ -31,7 +31,7 @@
     this.exchange = exchange;
     this.request = request;
     this.tenant = tenant;
-    this.deadlineMicros = exchange.receivedAt() + timeLeftMicros - RESPONSE_MARGIN_MICROS;
-    this.rejectAtMicros = exchange.receivedAt() + (long) (timeLeftMicros * REJECT_FRACTION);
+    this.deadlineMicros = exchange.receivedAtMicros() + timeLeftMicros - RESPONSE_MARGIN_MICROS;
+    this.rejectAtMicros = exchange.receivedAtMicros() + (long) (timeLeftMicros * REJECT_FRACTION);
   }
 }
--- a/src/main/java/org/otterpond/messaging/MessageSubmitter.java
+++ b/src/main/java/org/otterpond/messaging/MessageSubmitter.java
@@ -63,7 +63,7 @@
       return;
     }
     QuotaCache.Taker reservation = new Reservation(submission);
-    quota.want(submission.tenant, reservation);
+    quota.acquire(submission.tenant, reservation);
     eventLoop.after(
         submission.rejectAtMicros - EventLoop.now(),
         () -> {
@@ -121,7 +121,7 @@
       return;
     }
     submission.awaitingReply = true;
-    agent.askNode(
+    agent.requestNodeOnce(
         primary,
         submission.request.toWireRecord(),
         Math.min(REPLY_TIMEOUT_MICROS, submission.deadlineMicros - now),
--- a/src/main/java/org/otterpond/messaging/SegmentCleaner.java
+++ b/src/main/java/org/otterpond/messaging/SegmentCleaner.java
@@ -34,7 +34,7 @@
     Run run = new Run();
     long segmentEnd = storage.oldestEnd();
     for (PartitionReplica partition : partitions) {
-      partition.group().carry();
+      partition.group().rewriteUncommitted();
       for (Message message : partition.messages().storedBefore(segmentEnd)) {
         run.begun();
         partition.messages().whole(message, content -> rewrite(run, partition, message, content));
--- a/src/main/java/org/otterpond/messaging/SubmittedRequest.java
+++ b/src/main/java/org/otterpond/messaging/SubmittedRequest.java
@@ -46,11 +46,11 @@
     this.orderingKey = route.ordered() ? orderingKey(request) : null;
     this.timeLeftMicros = TimeRemaining.micros(request, DEFAULT_TIME_MICROS);
     this.delayMicros = delayMicros(request);
-    this.operationKey = request.first(GatewayHeaders.OPERATION_KEY);
+    this.operationKey = request.firstHeader(GatewayHeaders.OPERATION_KEY);
   }
 
   private static String orderingKey(HttpMessage request) throws InvalidRequestException {
-    String key = request.first(ORDERING_KEY);
+    String key = request.firstHeader(ORDERING_KEY);
     if (key == null || key.isEmpty()) {
       throw new InvalidRequestException(ORDERING_KEY + ": missing on an ordered route");
     }
@@ -58,7 +58,7 @@
   }
 
   private static long delayMicros(HttpMessage request) throws InvalidRequestException {
-    String given = request.first(NOT_BEFORE);
+    String given = request.firstHeader(NOT_BEFORE);
     if (given == null) {
       return 0;
     }
@@ -98,12 +98,12 @@
     return new AcceptedMessage(
         new MessageKeys(id, tenant, orderingKey, operationKey),
         new MessageDestination(
-            request.first("Host").toLowerCase(Locale.ROOT),
+            request.firstHeader("Host").toLowerCase(Locale.ROOT),
             request.target(),
             configuration.revision()),
         new MessageContent(request.method(), headers(configuration.closed()), request.body()),
         delayMicros,
-        route.keepMicros() > 0 ? route.keepMicros() : DEFAULT_RETENTION_MICROS);
+        route.retentionMicros() > 0 ? route.retentionMicros() : DEFAULT_RETENTION_MICROS);
   }
 
   /** Returns the headers that go to the worker, as name, value, name, value. */
--- a/src/main/java/org/otterpond/net/HttpMessage.java
+++ b/src/main/java/org/otterpond/net/HttpMessage.java
@@ -87,7 +87,7 @@
   }
 
   /** Returns the first value of a header, or null. */
-  public String first(String name) {
+  public String firstHeader(String name) {
     Header header = headers.getFirstHeader(name);
     return header == null ? null : header.getValue();
   }
--- a/src/main/java/org/otterpond/net/ServerExchange.java
+++ b/src/main/java/org/otterpond/net/ServerExchange.java
@@ -20,7 +20,7 @@
   }
 
   /** Returns when the first byte of the request came in, in the time of {@link EventLoop#now}. */
-  public long receivedAt() {
+  public long receivedAtMicros() {
     return receivedAtMicros;
   }
 
@@ -46,7 +46,7 @@
   }
 
   /** Sets what is run if the client ends its connection before it has a response. */
-  public void whenGone(Runnable task) {
+  public void onClientGone(Runnable task) {
     clientGoneTask = task;
   }
 
--- a/src/main/java/org/otterpond/net/WorkerConnection.java
+++ b/src/main/java/org/otterpond/net/WorkerConnection.java
@@ -83,7 +83,7 @@
 
   void send(HttpMessage request, ResponseListener responseListener) {
     listener = responseListener;
-    expectedId = request.first(pool.idHeader());
+    expectedId = request.firstHeader(pool.idHeader());
     carriedIds.add(expectedId);
     writtenBeforeRequest = socket.writtenBytes();
     responseStarted = false;
--- a/src/main/java/org/otterpond/net/WorkerConnectionPool.java
+++ b/src/main/java/org/otterpond/net/WorkerConnectionPool.java
@@ -64,7 +64,7 @@
    */
   public WorkerConnection send(
       HttpMessage request, long connectMicros, long maxIdleMicros, ResponseListener listener) {
-    WorkerConnection connection = takeIdle(request.first(idHeader), maxIdleMicros);
+    WorkerConnection connection = takeIdle(request.firstHeader(idHeader), maxIdleMicros);
     if (connection == null) {
       try {
         connection = new WorkerConnection(eventLoop, this, address, connectMicros);
@@ -116,7 +116,7 @@
 
   /** Returns how long a connection may be used again after this response. */
   long reusableMicros(HttpMessage response) {
-    String keepAlive = response.first("Keep-Alive");
+    String keepAlive = response.firstHeader("Keep-Alive");
     if (keepAlive == null) {
       return DEFAULT_REUSABLE_MICROS;
     }
--- a/src/main/java/org/otterpond/protocol/CompressedPayload.java
+++ b/src/main/java/org/otterpond/protocol/CompressedPayload.java
@@ -40,7 +40,7 @@
    *
    * @throws ProtocolException if the bytes are no compressed record, or it is too large
    */
-  public static WireRecord unpack(byte[] payload) throws ProtocolException {
+  public static WireRecord decompress(byte[] payload) throws ProtocolException {
     try (InputStream decompressed = inflate(payload)) {
       return WireRecordCodec.decode(decompressed);
     } catch (IOException e) {
@@ -53,7 +53,7 @@
    *
    * @throws ProtocolException if the bytes are no compressed text, or it is too large
    */
-  public static String unpackText(byte[] payload) throws ProtocolException {
+  public static String decompressText(byte[] payload) throws ProtocolException {
     try (InputStream decompressed = inflate(payload)) {
       return new String(decompressed.readAllBytes(), StandardCharsets.UTF_8);
     } catch (IOException e) {
--- a/src/main/java/org/otterpond/proxy/AttemptResultHandler.java
+++ b/src/main/java/org/otterpond/proxy/AttemptResultHandler.java
@@ -41,7 +41,7 @@
   void responded(RequestContext request, Attempt attempt, HttpMessage response) {
     WorkerEndpoint endpoint = attempt.endpoint;
     boolean executed =
-        response.first(GatewayHeaders.NOT_EXECUTED) == null
+        response.firstHeader(GatewayHeaders.NOT_EXECUTED) == null
             && response.status() != MISDIRECTED_REQUEST;
     boolean success = response.status() / 100 == 2;
     if (executed) {
@@ -54,7 +54,7 @@
       // The other attempt may do better.
       return;
     }
-    if (success && response.first(GatewayHeaders.SERVER_SEAL) == null) {
+    if (success && response.firstHeader(GatewayHeaders.SERVER_SEAL) == null) {
       endpoint.attemptFailed(EventLoop.now());
       if (request.openAttempts.isEmpty()) {
         brokenOff(request, "the worker's response does not belong to this request");
--- a/src/main/java/org/otterpond/proxy/IdempotencyKeyLocking.java
+++ b/src/main/java/org/otterpond/proxy/IdempotencyKeyLocking.java
@@ -64,7 +64,7 @@
         new ClaimKeyRequest(request.operationKey, request.lockToken, ownAddress, null)
             .toWireRecord();
     if (request.countsAgainstQuota() && !request.quotaTokenReserved && !quota.tryReserve(request)) {
-      quotaCache.sign(ask).with("tenant", quotaCache.part(request.tenant.name(), 1));
+      quotaCache.addAccount(ask).with("tenant", quotaCache.part(request.tenant.name(), 1));
     }
     long askedAtMicros = EventLoop.now();
     keys.lockRequested(request);
@@ -166,7 +166,7 @@
       return;
     }
     long rest = request.timeLeftMicros(EventLoop.now()) - RequestContext.MIN_TIME_LEFT_MICROS;
-    agent.fetch(
+    agent.fetchOutcome(
         holder,
         request.operationKey,
         token,
--- a/src/main/java/org/otterpond/proxy/IdempotencyKeys.java
+++ b/src/main/java/org/otterpond/proxy/IdempotencyKeys.java
@@ -72,8 +72,8 @@
         new RunOutcome.StoredResponse(
             response.status(),
             response.body(),
-            response.first(GatewayHeaders.SERVER_SEAL),
-            response.first("Content-Type")));
+            response.firstHeader(GatewayHeaders.SERVER_SEAL),
+            response.firstHeader("Content-Type")));
   }
 
   /** Stores that the operation may have been executed, with an unknown response. */
--- a/src/main/java/org/otterpond/proxy/LatencyTarget.java
+++ b/src/main/java/org/otterpond/proxy/LatencyTarget.java
@@ -10,6 +10,6 @@
   private LatencyTarget() {}
 
   static long micros(Route route) {
-    return route.aimMicros() > 0 ? route.aimMicros() : DEFAULT_MICROS;
+    return route.latencyTargetMicros() > 0 ? route.latencyTargetMicros() : DEFAULT_MICROS;
   }
 }
--- a/src/main/java/org/otterpond/proxy/ProxyHandler.java
+++ b/src/main/java/org/otterpond/proxy/ProxyHandler.java
@@ -193,7 +193,7 @@
   }
 
   @Override
-  public List<WireRecord> heat() {
+  public List<WireRecord> takeKeyLoads() {
     List<WireRecord> reports = new ArrayList<>();
     keyLoad
         .take()
@@ -266,7 +266,7 @@
         return;
       }
     }
-    if (request.first(GatewayHeaders.ATTEMPT_ID) == null) {
+    if (request.firstHeader(GatewayHeaders.ATTEMPT_ID) == null) {
       exchange.answer(GatewayResponses.problem(400, GatewayHeaders.ATTEMPT_ID + ": missing"));
     } else if (route.type() == RouteType.ASYNCHRONOUS) {
       messages.submit(exchange, route, tenant, configuration);
--- a/src/main/java/org/otterpond/proxy/QuotaAdmission.java
+++ b/src/main/java/org/otterpond/proxy/QuotaAdmission.java
@@ -57,7 +57,7 @@
   void reserve(RequestContext request, Runnable reserved, DoubleConsumer unavailable) {
     long waitMicros = coreWaitMicros(request);
     Reservation reservation = new Reservation(request, reserved, unavailable);
-    quota.want(request.tenant.name(), reservation);
+    quota.acquire(request.tenant.name(), reservation);
     if (reservation.waits()) {
       eventLoop.after(waitMicros, reservation::timedOut);
     }
--- a/src/main/java/org/otterpond/proxy/RequestAdmission.java
+++ b/src/main/java/org/otterpond/proxy/RequestAdmission.java
@@ -48,7 +48,7 @@
       rejectAsStale(exchange);
       return null;
     }
-    Tenant tenant = tenantOf(exchange.request(), configuration);
+    Tenant tenant = tenantByKey(exchange.request(), configuration);
     if (tenant == null && agent.outOfTouch()) {
       // The key may have come with a revision that has not reached this node.
       rejectAsStale(exchange);
@@ -64,7 +64,7 @@
       rejectAsStale(exchange);
       return null;
     }
-    Tenant tenant = tenantOf(exchange.request(), configuration);
+    Tenant tenant = tenantByKey(exchange.request(), configuration);
     if (tenant == null) {
       rejectAsUnauthorized(exchange);
     }
@@ -77,18 +77,19 @@
    * suspended makes the configuration older.
    */
   boolean accessKeysFresh() {
-    return !freshnessRequired || EventLoop.now() - agent.freshAt() < maxConfigurationAgeMicros;
+    return !freshnessRequired
+        || EventLoop.now() - agent.configurationConfirmedAt() < maxConfigurationAgeMicros;
   }
 
   /** Returns the tenant of the one well-formed access key of the request, or null. */
-  private static Tenant tenantOf(HttpMessage request, GatewayConfiguration configuration) {
+  private static Tenant tenantByKey(HttpMessage request, GatewayConfiguration configuration) {
     Header[] given = request.headers().getHeaders(GatewayHeaders.AUTHORIZATION);
     if (given.length != 1 || given[0].getValue() == null) {
       return null;
     }
     String value = given[0].getValue().trim();
     return value.regionMatches(true, 0, BEARER, 0, BEARER.length())
-        ? configuration.tenantOf(value.substring(BEARER.length()).trim())
+        ? configuration.tenantByKey(value.substring(BEARER.length()).trim())
         : null;
   }
 
--- a/src/main/java/org/otterpond/proxy/RequestContext.java
+++ b/src/main/java/org/otterpond/proxy/RequestContext.java
@@ -74,8 +74,8 @@
    * microseconds from its arrival.
    */
   void setTimeLimits(long totalMicros, long queueMicros) {
-    deadlineMicros = exchange.receivedAt() + totalMicros;
-    rejectAtMicros = exchange.receivedAt() + queueMicros;
+    deadlineMicros = exchange.receivedAtMicros() + totalMicros;
+    rejectAtMicros = exchange.receivedAtMicros() + queueMicros;
   }
 
   long deadlineMicros() {
@@ -93,7 +93,7 @@
 
   /** Returns whether more than half of the time of the request is left. */
   boolean moreThanHalfLeft(long now) {
-    return timeLeftMicros(now) > timeLeftMicros(exchange.receivedAt()) / 2;
+    return timeLeftMicros(now) > timeLeftMicros(exchange.receivedAtMicros()) / 2;
   }
 
   /** Returns the rank in queues; lower values go first. */
@@ -103,7 +103,7 @@
 
   /** Returns whether attempts of the request count against a quota. */
   boolean countsAgainstQuota() {
-    return tenant != null && tenant.limited();
+    return tenant != null && tenant.hasRateLimit();
   }
 
   boolean keyed() {
--- a/src/main/java/org/otterpond/proxy/RequestRouter.java
+++ b/src/main/java/org/otterpond/proxy/RequestRouter.java
@@ -32,7 +32,7 @@
 
   /** Returns the route of a request, or null. */
   static Route route(HttpMessage request, GatewayConfiguration configuration) {
-    String host = request.first("Host");
+    String host = request.firstHeader("Host");
     return host == null ? null : configuration.route(host, request.path());
   }
 
@@ -45,7 +45,7 @@
       throws InvalidRequestException {
     HttpMessage request = exchange.request();
     long totalMicros =
-        Math.min(route.guardMicros(), TimeRemaining.micros(request, route.guardMicros()));
+        Math.min(route.timeoutMicros(), TimeRemaining.micros(request, route.timeoutMicros()));
     String serviceName = route.serviceFor((long) (random.nextDouble() * route.totalWeight()));
     ServiceEndpoints endpoints = services.service(serviceName);
     RequestContext context = new RequestContext(exchange, route, tenant, endpoints);
@@ -95,7 +95,7 @@
   /** Returns the key of the client's operation, apart from equal keys of other tenants or hosts. */
   private static String operationKey(HttpMessage request, Route route, Tenant tenant)
       throws InvalidRequestException {
-    String given = request.first(GatewayHeaders.OPERATION_KEY);
+    String given = request.firstHeader(GatewayHeaders.OPERATION_KEY);
     if (given == null || given.isEmpty()) {
       throw new InvalidRequestException(GatewayHeaders.OPERATION_KEY + ": missing");
     }
--- a/src/main/java/org/otterpond/proxy/ResponseWriter.java
+++ b/src/main/java/org/otterpond/proxy/ResponseWriter.java
@@ -14,7 +14,7 @@
   static HttpMessage forwarded(HttpMessage fromWorker) {
     HttpMessage response = HttpMessage.response(fromWorker.status()).body(fromWorker.body());
     HeaderFilter.copyResponseHeaders(fromWorker, response);
-    String length = fromWorker.first(CONTENT_LENGTH);
+    String length = fromWorker.firstHeader(CONTENT_LENGTH);
     if (fromWorker.body().length == 0
         && length != null
         && fromWorker.status() != NO_CONTENT
@@ -27,7 +27,7 @@
   /** Returns the stored response as it goes to the client that repeats the operation. */
   static HttpMessage replayed(RunOutcome.StoredResponse stored, HttpMessage request) {
     return HttpMessage.response(stored.status())
-        .header(GatewayHeaders.ATTEMPT_ID, request.first(GatewayHeaders.ATTEMPT_ID))
+        .header(GatewayHeaders.ATTEMPT_ID, request.firstHeader(GatewayHeaders.ATTEMPT_ID))
         .header(GatewayHeaders.SERVER_SEAL, stored.serverSeal())
         .header("Content-Type", stored.contentType())
         .body(stored.body());
--- a/src/main/java/org/otterpond/proxy/TimeRemaining.java
+++ b/src/main/java/org/otterpond/proxy/TimeRemaining.java
@@ -15,7 +15,7 @@
    */
   public static long micros(HttpMessage request, long defaultMicros)
       throws InvalidRequestException {
-    String millis = request.first(GatewayHeaders.TIME_REMAINING);
+    String millis = request.firstHeader(GatewayHeaders.TIME_REMAINING);
     if (millis == null) {
       return defaultMicros;
     }
--- a/src/main/java/org/otterpond/proxy/WorkerClient.java
+++ b/src/main/java/org/otterpond/proxy/WorkerClient.java
@@ -113,7 +113,9 @@
 
     @Override
     public void answered(HttpMessage response) {
-      finish(new KeyRangeRuntime.Answer(response.status(), response.first(HANDOVER_TOKEN), true));
+      finish(
+          new KeyRangeRuntime.Answer(
+              response.status(), response.firstHeader(HANDOVER_TOKEN), true));
     }
 
     @Override
--- a/src/main/java/org/otterpond/proxy/WorkerEndpoint.java
+++ b/src/main/java/org/otterpond/proxy/WorkerEndpoint.java
@@ -151,7 +151,7 @@
   }
 
   boolean inSlowStart(long nowMicros) {
-    return instance.warmUntil() > nowMicros;
+    return instance.slowStartEndMicros() > nowMicros;
   }
 
   /** Sets the weight in the selection; below 1 while the worker is ejected as an outlier. */
--- a/src/main/java/org/otterpond/replication/GroupConfiguration.java
+++ b/src/main/java/org/otterpond/replication/GroupConfiguration.java
@@ -134,7 +134,7 @@
   }
 
   /** Returns the same version with other wanted members. */
-  public GroupConfiguration wanting(List<String> newWanted) {
+  public GroupConfiguration withWantedMembers(List<String> newWanted) {
     return new GroupConfiguration(group, version, primary, secondaries, List.copyOf(newWanted));
   }
 }
--- a/src/main/java/org/otterpond/replication/ReplicaGroup.java
+++ b/src/main/java/org/otterpond/replication/ReplicaGroup.java
@@ -51,7 +51,7 @@
   }
 
   /** Returns whether this node is a member of the group, or a candidate. */
-  public boolean involved() {
+  public boolean isInvolved() {
     return !(role instanceof NonMemberRole);
   }
 
@@ -76,7 +76,7 @@
   /** Takes the manager's configuration; the manager's updates arrive in their order. */
   public void learn(GroupConfiguration installed) {
     if (replica.isInVersion(installed.version())) {
-      replica.setConfiguration(replica.configuration().wanting(installed.wanted()));
+      replica.setConfiguration(replica.configuration().withWantedMembers(installed.wanted()));
     } else {
       adopt(installed);
     }
@@ -173,7 +173,7 @@
   }
 
   /** Returns how many updates wait for the group to serve. */
-  public int parked() {
+  public int queuedUpdates() {
     return role instanceof PrimaryRole primary ? primary.queuedUpdates() : 0;
   }
 
@@ -209,7 +209,7 @@
   }
 
   /** Handles the acknowledgement of a beacon that was sent at the given time. */
-  public void beaconAcknowledged(String member, long version, long sentAt) {
+  public void onBeaconAcknowledged(String member, long version, long sentAt) {
     if (role instanceof PrimaryRole primary) {
       primary.onBeaconAcknowledged(member, version, sentAt);
     }
@@ -322,7 +322,7 @@
   }
 
   /** Writes the uncommitted entries again, so that the oldest segment can be removed. */
-  public void carry() {
+  public void rewriteUncommitted() {
     replica.preparedList().rewriteUncommitted(replica.configuration().version());
   }
 
--- a/src/main/java/org/otterpond/runtime/NodeRuntime.java
+++ b/src/main/java/org/otterpond/runtime/NodeRuntime.java
@@ -55,7 +55,7 @@
    * @param work the work
    * @param then runs on the owner thread afterwards, also if the work failed
    */
-  default void apart(Runnable work, Runnable then) {
+  default void runOffThread(Runnable work, Runnable then) {
     work.run();
     then.run();
   }
--- a/src/main/java/org/otterpond/server/ControlApiHandler.java
+++ b/src/main/java/org/otterpond/server/ControlApiHandler.java
@@ -164,7 +164,7 @@
 
   private void write(ServerExchange call, String kind) throws ConfigException {
     String text = bodyOf(call);
-    String base = call.request().first("X-Otterpond-Base-Revision");
+    String base = call.request().firstHeader("X-Otterpond-Base-Revision");
     long number;
     try {
       number = base == null ? 0 : Long.parseLong(base.trim());
@@ -257,7 +257,7 @@
 
   private static String unpacked(WireRecord reply) {
     try {
-      return CompressedPayload.unpackText(reply.bytes("text"));
+      return CompressedPayload.decompressText(reply.bytes("text"));
     } catch (ProtocolException e) {
       throw new IllegalStateException("what the primary packed is unreadable here", e);
     }
--- a/src/main/java/org/otterpond/server/MetricsPage.java
+++ b/src/main/java/org/otterpond/server/MetricsPage.java
@@ -71,7 +71,7 @@
     Gauge.builder(
             "otterpond.configuration.confirmed.age",
             node,
-            n -> (EventLoop.now() - n.freshAt()) / 1e6)
+            n -> (EventLoop.now() - n.configurationConfirmedAt()) / 1e6)
         .baseUnit("seconds")
         .register(r);
     Gauge.builder("otterpond.requests.open", proxy, ProxyHandler::inFlight).register(r);
--- a/src/main/java/org/otterpond/server/NodeServer.java
+++ b/src/main/java/org/otterpond/server/NodeServer.java
@@ -191,7 +191,10 @@
         settings.heartbeatMicros(),
         settings.keyWindowMicros(),
         new FaultTolerance(
-            settings.faults(), settings.zoneFaults(), settings.regionFaults(), settings.regionOf()),
+            settings.faults(),
+            settings.toleratedZones(),
+            settings.toleratedRegions(),
+            settings.regionOf()),
         new QuotaSettings(
             settings.quotaWindowMicros(),
             settings.quotaExcess(),
@@ -224,24 +227,25 @@
 
   private void listen(ControlPlaneAgent node, ProxyMetrics tally) throws IOException {
     int connections = Math.max(64, (settings.fileDescriptors() - 300) / 2);
-    if (settings.frontPoint() != null) {
+    if (settings.frontAddress() != null) {
       front =
           new HttpListener(
               eventLoop,
               proxy,
-              PeerTransport.address(settings.frontPoint()),
+              PeerTransport.address(settings.frontAddress()),
               connections,
               BODY_BOUND);
     }
-    if (settings.readinessPoint() != null) {
+    if (settings.readinessAddress() != null) {
       new HttpListener(
-          eventLoop, new Readiness(), PeerTransport.address(settings.readinessPoint()), 64, 1024);
+          eventLoop, new Readiness(), PeerTransport.address(settings.readinessAddress()), 64, 1024);
     }
-    if (settings.controlPoint() != null) {
+    if (settings.controlAddress() != null) {
       new HttpListener(
           eventLoop,
-          new ControlApiHandler(node, new MetricsPage(tally, proxy, node), settings.controlPoint()),
-          PeerTransport.address(settings.controlPoint()),
+          new ControlApiHandler(
+              node, new MetricsPage(tally, proxy, node), settings.controlAddress()),
+          PeerTransport.address(settings.controlAddress()),
           400,
           16L << 20);
     }
@@ -314,7 +318,7 @@
   }
 
   private void checkHandedOver(long by) {
-    boolean quiet = store.store.handedOver() && dispatcher.open() == 0;
+    boolean quiet = store.store.isDrained() && dispatcher.open() == 0;
     if (!quiet && EventLoop.now() < by) {
       store.store.retire();
       eventLoop.after(STORE_CHECK, () -> checkHandedOver(by));
--- a/src/main/java/org/otterpond/server/ProductionRuntime.java
+++ b/src/main/java/org/otterpond/server/ProductionRuntime.java
@@ -59,7 +59,7 @@
   }
 
   @Override
-  public void apart(Runnable work, Runnable then) {
+  public void runOffThread(Runnable work, Runnable then) {
     reader.execute(
         () -> {
           try {
--- a/src/main/java/org/otterpond/simulation/OperatorClient.java
+++ b/src/main/java/org/otterpond/simulation/OperatorClient.java
@@ -246,7 +246,7 @@
     try {
       List<String> names = new ArrayList<>();
       for (JsonElement tenant :
-          JsonParser.parseString(CompressedPayload.unpackText(compressedText))
+          JsonParser.parseString(CompressedPayload.decompressText(compressedText))
               .getAsJsonObject()
               .getAsJsonArray("subscribers")) {
         names.add(tenant.getAsJsonObject().get("name").getAsString());
--- a/src/main/java/org/otterpond/simulation/SimulatedDataPlane.java
+++ b/src/main/java/org/otterpond/simulation/SimulatedDataPlane.java
@@ -92,7 +92,7 @@
   }
 
   @Override
-  public List<WireRecord> heat() {
+  public List<WireRecord> takeKeyLoads() {
     return node.keyRangeWorkers == null
         ? List.of()
         : node.keyRangeWorkers.takeLoadReport(node.address);
--- a/src/main/java/org/otterpond/simulation/SimulatedDelivery.java
+++ b/src/main/java/org/otterpond/simulation/SimulatedDelivery.java
@@ -150,7 +150,7 @@
   }
 
   private void attemptFailed(MessagePartition partition, Message message) {
-    messageStore.tried(partition, message);
+    messageStore.attemptFailed(partition, message);
     if (message.attempts() >= MAX_ATTEMPTS) {
       messageStore.ended(partition, message, MessageState.DEAD_LETTER, null);
     } else {
--- a/src/main/java/org/otterpond/simulation/SimulatedProducers.java
+++ b/src/main/java/org/otterpond/simulation/SimulatedProducers.java
@@ -134,7 +134,7 @@
         }
         return;
       }
-      edge.agent.askNode(
+      edge.agent.requestNodeOnce(
           GroupConfiguration.addressOf(edge.partitions.get(partition).primary()),
           new WireRecord("m.put").with("group", partition).with("message", message),
           INGEST_TIMEOUT_MICROS,
@@ -160,7 +160,7 @@
     SimulatedNode edge = cluster.randomRunningNode();
     int partition = Integer.parseInt(sent.id.substring(0, sent.id.indexOf('.')));
     String primary = GroupConfiguration.addressOf(edge.partitions.get(partition).primary());
-    edge.agent.askNode(
+    edge.agent.requestNodeOnce(
         primary,
         new WireRecord("m.state").with("group", partition).with("id", sent.id),
         QUERY_TIMEOUT_MICROS,
@@ -186,7 +186,7 @@
 
   private void queryBody(
       SimulatedNode edge, String primary, int partition, MessageInvariantChecker.SentMessage sent) {
-    edge.agent.askNode(
+    edge.agent.requestNodeOnce(
         primary,
         new WireRecord("m.body").with("group", partition).with("id", sent.id),
         QUERY_TIMEOUT_MICROS,
--- a/src/main/java/org/otterpond/simulation/SimulatedReplicaGroup.java
+++ b/src/main/java/org/otterpond/simulation/SimulatedReplicaGroup.java
@@ -111,7 +111,7 @@
                         () ->
                             perform(
                                 () ->
-                                    group.beaconAcknowledged(
+                                    group.onBeaconAcknowledged(
                                         to, version, leaseFromTheAnswer ? world.now() : at)));
                   }
                 });
--- a/src/main/java/org/otterpond/simulation/SimulatedRuntime.java
+++ b/src/main/java/org/otterpond/simulation/SimulatedRuntime.java
@@ -146,7 +146,7 @@
   }
 
   @Override
-  public void apart(Runnable work, Runnable then) {
+  public void runOffThread(Runnable work, Runnable then) {
     work.run();
     after(machine.backgroundWorkMicros + world.random.nextInt(BACKGROUND_WORK_SPREAD_MICROS), then);
   }
--- a/src/main/java/org/otterpond/simulation/TenantClients.java
+++ b/src/main/java/org/otterpond/simulation/TenantClients.java
@@ -61,7 +61,7 @@
    */
   void admit(SimulatedNode node) {
     if (node.configuration == null
-        || world.now() - node.agent.freshAt()
+        || world.now() - node.agent.configurationConfirmedAt()
             >= REVOCATION_DELAY_MICROS - REVOCATION_MARGIN_MICROS) {
       return;
     }
@@ -71,7 +71,7 @@
           .forEach(
               key -> cluster.checker.accessKeyUsed(node.address, key, REVOCATION_DELAY_MICROS));
     }
-    node.agent.stores().want(TENANT, new QuotaRequest());
+    node.agent.stores().acquire(TENANT, new QuotaRequest());
   }
 
   /** One request that waits a second at most for a token of the quota. */
--- a/src/main/java/org/otterpond/storage/RecordFraming.java
+++ b/src/main/java/org/otterpond/storage/RecordFraming.java
@@ -73,7 +73,7 @@
   /** Returns the record of a body, compressed or not. */
   static WireRecord decode(byte[] body) throws ProtocolException {
     return body[0] == ZLIB_FIRST_BYTE
-        ? CompressedPayload.unpack(body)
+        ? CompressedPayload.decompress(body)
         : WireRecordCodec.decode(body, 0, body.length);
   }
 
--- a/src/main/java/org/otterpond/tools/SampleWorkerServer.java
+++ b/src/main/java/org/otterpond/tools/SampleWorkerServer.java
@@ -44,7 +44,7 @@
   @Override
   public void handle(ServerExchange exchange) {
     HttpMessage request = exchange.request();
-    String expected = request.first("X-Otterpond-Expected-Instance");
+    String expected = request.firstHeader("X-Otterpond-Expected-Instance");
     if (expected != null && !expected.equals(instance)) {
       exchange.answer(
           HttpMessage.response(MISDIRECTED_REQUEST)
@@ -54,7 +54,7 @@
     served++;
     exchange.answer(
         HttpMessage.response(OK)
-            .header(ATTEMPT_ID, request.first(ATTEMPT_ID))
+            .header(ATTEMPT_ID, request.firstHeader(ATTEMPT_ID))
             .header("X-Otterpond-Server-Seal", instance + "." + served)
             .header("Content-Type", "text/plain")
             .body(("served " + request.target() + "\n").getBytes(StandardCharsets.UTF_8)));
--- a/src/test/java/org/otterpond/config/FaultToleranceSettingsTest.java
+++ b/src/test/java/org/otterpond/config/FaultToleranceSettingsTest.java
@@ -24,10 +24,10 @@
             ",\"zone\":\"a\",\"region\":\"r\",\"zones\":{\"a\":\"r\",\"b\":\"s\"},"
                 + "\"fault_tolerance\":{\"machines\":2,\"zones\":1,\"regions\":1}");
     assertEquals(2, settings.faults());
-    assertEquals(1, settings.zoneFaults());
-    assertEquals(1, settings.regionFaults());
+    assertEquals(1, settings.toleratedZones());
+    assertEquals(1, settings.toleratedRegions());
     assertEquals(Map.of("a", "r", "b", "s"), settings.regionOf());
-    assertEquals(0, parse("").regionFaults());
+    assertEquals(0, parse("").toleratedRegions());
     assertEquals(Map.of(), parse("").regionOf());
     assertThrows(ConfigException.class, () -> parse(",\"fault_tolerance\":{\"regions\":-1}"));
   }
--- a/src/test/java/org/otterpond/control/agent/ControlPlaneAgentTest.java
+++ b/src/test/java/org/otterpond/control/agent/ControlPlaneAgentTest.java
@@ -81,7 +81,7 @@
 
   @Test
   void fetchedOutcomeIsTakenOutOfItsReply() {
-    agent.fetch("n1", "key", "token", TIMEOUT, answers::add);
+    agent.fetchOutcome("n1", "key", "token", TIMEOUT, answers::add);
     RecordingRuntime.Sent request = runtime.takeOnlySent();
     long requestId = request.message().number("rid");
 
@@ -115,7 +115,7 @@
 
   @Test
   void closedConnectionLeavesTheOutcomeOfRequestToThatNodeUnknown() {
-    agent.askNode("n1", new WireRecord("m.put"), TIMEOUT, answers::add);
+    agent.requestNodeOnce("n1", new WireRecord("m.put"), TIMEOUT, answers::add);
 
     agent.peerLost("n1", /* neverUp= */ false, runtime.connection);
 
--- a/src/test/java/org/otterpond/control/agent/QuotaCacheTest.java
+++ b/src/test/java/org/otterpond/control/agent/QuotaCacheTest.java
@@ -55,9 +55,9 @@
 
   @Test
   void tokensServeWaitingCallersInOrderAndSkipThoseThatGaveUp() {
-    cache.want(TENANT, caller("a", true));
-    cache.want(TENANT, caller("b", false));
-    cache.want(TENANT, caller("c", true));
+    cache.acquire(TENANT, caller("a", true));
+    cache.acquire(TENANT, caller("b", false));
+    cache.acquire(TENANT, caller("c", true));
     runtime.run(COLLECT);
     WireRecord request = runtime.takeOnlySent().message();
 
@@ -69,7 +69,7 @@
 
   @Test
   void callersOverTheQuotaLearnWhenToRetry() {
-    cache.want(TENANT, caller("a", true));
+    cache.acquire(TENANT, caller("a", true));
     runtime.run(COLLECT);
 
     reply(
@@ -81,7 +81,7 @@
 
   @Test
   void ownerIsAskedAgainWhileCallersWait() {
-    cache.want(TENANT, caller("a", true));
+    cache.acquire(TENANT, caller("a", true));
     runtime.run(COLLECT);
     reply(runtime.takeOnlySent().message(), grant(0, 50 * MILLIS));
 
@@ -151,7 +151,7 @@
 
   @Test
   void malformedReplyIsLoggedAndTheOwnerAskedAgain() {
-    cache.want(TENANT, caller("a", true));
+    cache.acquire(TENANT, caller("a", true));
     runtime.run(COLLECT);
     WireRecord request = runtime.takeOnlySent().message();
 
--- a/src/test/java/org/otterpond/control/epoch/BandwidthLimitedCore.java
+++ b/src/test/java/org/otterpond/control/epoch/BandwidthLimitedCore.java
@@ -58,7 +58,7 @@
         .forEach(
             m -> {
               m.start();
-              m.replica.found(first);
+              m.replica.acceptFirstRecord(first);
             });
     run(1_000_000);
   }
@@ -160,7 +160,7 @@
     }
 
     int lockedKeys() {
-      return replica.hold().claimCount();
+      return replica.hold().keyLockCount();
     }
 
     private void tick(int of) {
@@ -244,7 +244,7 @@
     }
 
     @Override
-    public void learnt(EpochRecord record) {
+    public void onRecordLearned(EpochRecord record) {
       // No services run here.
     }
   }
--- a/src/test/java/org/otterpond/control/epoch/CoreLogFixtureTest.java
+++ b/src/test/java/org/otterpond/control/epoch/CoreLogFixtureTest.java
@@ -75,7 +75,7 @@
     lines.add("record " + RecordText.of(replica.record().toWireRecord()));
     lines.add("revision " + replicated.revision() + " " + replica.committedRevision());
     lines.add("configuration " + replicated.text().unpacked());
-    lines.add("configuration " + replica.committedText().unpacked());
+    lines.add("configuration " + replica.committedConfiguration().unpacked());
     replicated.workers().forEach(w -> lines.add("worker " + RecordText.of(w)));
     lines.add("assignments " + replicated.assignments().number());
     replicated
@@ -83,11 +83,11 @@
         .all()
         .values()
         .forEach(a -> lines.add("assignment " + RecordText.of(a)));
-    lines.add("claims " + replicated.claimCount());
+    lines.add("claims " + replicated.keyLockCount());
     for (String line : expected) {
       String[] words = line.split(" ", -1);
-      if (words[0].equals("claim") && replicated.claim(words[1]) != null) {
-        IdempotencyKeyLock claim = replicated.claim(words[1]);
+      if (words[0].equals("claim") && replicated.keyLock(words[1]) != null) {
+        IdempotencyKeyLock claim = replicated.keyLock(words[1]);
         lines.add("claim " + words[1] + " " + claim.token() + " " + claim.holder());
       } else if (words[0].equals("taken")
           && replicated.taken().holds(Long.parseLong(words[1]), words[2])) {
--- a/src/test/java/org/otterpond/control/epoch/ManualRuntime.java
+++ b/src/test/java/org/otterpond/control/epoch/ManualRuntime.java
@@ -85,7 +85,7 @@
   }
 
   @Override
-  public void learnt(EpochRecord record) {
+  public void onRecordLearned(EpochRecord record) {
     // No services run here.
   }
 }
--- a/src/test/java/org/otterpond/control/epoch/SnapshotInstallerTest.java
+++ b/src/test/java/org/otterpond/control/epoch/SnapshotInstallerTest.java
@@ -70,20 +70,20 @@
     List<WireRecord> sent = receive(SECOND_SNAPSHOT, 1);
     assertEquals(List.of("snapheld"), kinds(sent));
     assertEquals(0, sent.get(0).number("held"));
-    assertEquals(0, replica.hold().claimCount());
+    assertEquals(0, replica.hold().keyLockCount());
   }
 
   @Test
   void givenIncompleteSnapshot_whenNothingFollows_thenStateStays() {
     assertEquals(List.of("snapheld"), kinds(receive(FIRST_SNAPSHOT, 0)));
-    assertEquals(0, replica.hold().claimCount());
+    assertEquals(0, replica.hold().keyLockCount());
   }
 
   @Test
   void givenCompleteSnapshot_whenWritten_thenInstallationIsAnsweredOnceDurable() {
     receive(FIRST_SNAPSHOT, 0);
     assertEquals(List.of("snapheld"), kinds(receive(FIRST_SNAPSHOT, 1)));
-    assertEquals(1, replica.hold().claimCount());
+    assertEquals(1, replica.hold().keyLockCount());
     runtime.run(0);
     assertEquals(List.of("snapheld", "snapok"), kinds(runtime.sent()));
   }
--- a/src/test/java/org/otterpond/control/epoch/WitnessTest.java
+++ b/src/test/java/org/otterpond/control/epoch/WitnessTest.java
@@ -58,7 +58,7 @@
             MEMBERS.get(1),
             new ReplicatedState(60_000_000),
             FaultTolerance.ofMachines(1));
-    replica.found(record(1));
+    replica.acceptFirstRecord(record(1));
     runtime.run(0);
     runtime.sent().clear();
   }
@@ -134,7 +134,7 @@
   void givenPromiseOfNewerEpoch_whenBatchComes_thenItIsRejected() {
     response(prepare(64, 1));
     assertEquals("repno", response(replicate(1)).kind());
-    assertEquals(0, replica.hold().claimCount());
+    assertEquals(0, replica.hold().keyLockCount());
   }
 
   @Test
@@ -150,6 +150,6 @@
     WireRecord release = new WireRecord("free").with("key", "k").with("token", "t");
     response(new ReplicateRequest(1, 2, List.of(release)));
     assertEquals("rack", response(replicate(1)).kind());
-    assertEquals(0, replica.hold().claimCount());
+    assertEquals(0, replica.hold().keyLockCount());
   }
 }
--- a/src/test/java/org/otterpond/control/primary/IdempotencyKeyLocksTest.java
+++ b/src/test/java/org/otterpond/control/primary/IdempotencyKeyLocksTest.java
@@ -57,8 +57,8 @@
   @Test
   void givenFreeKey_whenClaimed_thenLockIsGrantedAfterCommit() {
     // when
-    locks.claim(FIRST, replies::add);
-    locks.claim(FIRST, replies::add);
+    locks.keyLock(FIRST, replies::add);
+    locks.keyLock(FIRST, replies::add);
     assertEquals(List.of(), replies);
     commit();
 
@@ -70,12 +70,12 @@
   @Test
   void givenLockedKey_whenClaimed_thenReplyNamesTheHolder() {
     // given
-    locks.claim(FIRST, reply -> {});
+    locks.keyLock(FIRST, reply -> {});
     commit();
 
     // when
-    locks.claim(SECOND, replies::add);
-    locks.claim(FIRST, replies::add);
+    locks.keyLock(SECOND, replies::add);
+    locks.keyLock(FIRST, replies::add);
 
     // then
     assertEquals(
@@ -85,18 +85,18 @@
   @Test
   void givenLockedKey_whenReleasedByItsAttempt_thenItIsFree() {
     // given
-    locks.claim(FIRST, reply -> {});
+    locks.keyLock(FIRST, reply -> {});
     commit();
 
     // when
     locks.release(new ReleaseKeyRequest("k", "t2"), replies::add);
-    assertEquals(1, state.claimCount(), "another attempt releases nothing");
+    assertEquals(1, state.keyLockCount(), "another attempt releases nothing");
     locks.release(new ReleaseKeyRequest("k", "t1"), replies::add);
     commit();
 
     // then
     assertEquals(List.of(new AcknowledgedReply(), new AcknowledgedReply()), replies);
-    assertEquals(0, state.claimCount());
+    assertEquals(0, state.keyLockCount());
   }
 
   @Test
@@ -106,18 +106,18 @@
     QuotaAccount account = new QuotaAccount(List.of(new TokenDemand("acme", 0, 0, 1, 0)), 7, 0);
 
     // when
-    locks.claim(new ClaimKeyRequest("k", "t1", "n1", account), replies::add);
+    locks.keyLock(new ClaimKeyRequest("k", "t1", "n1", account), replies::add);
 
     // then
     ClaimKeyReply reply = (ClaimKeyReply) replies.get(0);
     assertEquals(0, reply.grant().count());
     assertEquals(70_000, reply.grant().retryAfterMicros());
-    assertEquals(0, state.claimCount());
+    assertEquals(0, state.keyLockCount());
   }
 
   @Test
   void givenPendingLock_whenSteppedDown_thenThereIsNoReply() {
-    locks.claim(FIRST, replies::add);
+    locks.keyLock(FIRST, replies::add);
     locks.steppedDown();
     commit();
     assertEquals(List.of(), replies);
--- a/src/test/java/org/otterpond/control/primary/ManyConfigurationChangesTest.java
+++ b/src/test/java/org/otterpond/control/primary/ManyConfigurationChangesTest.java
@@ -128,7 +128,7 @@
         });
     assertEquals(changes, read.revision());
     assertEquals(configuration(routes, changes), read.text().unpacked());
-    assertEquals(rotations > 0 ? claims : 0, read.claimCount());
+    assertEquals(rotations > 0 ? claims : 0, read.keyLockCount());
   }
 
   @ParameterizedTest
--- a/src/test/java/org/otterpond/control/primary/QuotaOwnerTest.java
+++ b/src/test/java/org/otterpond/control/primary/QuotaOwnerTest.java
@@ -100,7 +100,9 @@
         // asked.
         if (lent.count() > 0 && random.nextInt(10) > 0) {
           n.grants.addLast(
-              new long[] {now - random.nextInt(20_000) + SETTINGS.lentMicros(), lent.count()});
+              new long[] {
+                now - random.nextInt(20_000) + SETTINGS.tokenLeaseMicros(), lent.count()
+              });
         }
         // Some hoard for seconds, then spend all at once.
         if (random.nextInt(now % 7_000_000 < 3_000_000 ? 40 : 3) == 0) {
--- a/src/test/java/org/otterpond/control/primary/SingleMemberCore.java
+++ b/src/test/java/org/otterpond/control/primary/SingleMemberCore.java
@@ -44,7 +44,7 @@
             SELF,
             this,
             new ControlPlaneSettings(1_000_000, 60_000_000, faults, quotas));
-    replica.found(new EpochRecord("fleet-1", 1, SELF, List.of(), List.of(SELF), 1));
+    replica.acceptFirstRecord(new EpochRecord("fleet-1", 1, SELF, List.of(), List.of(SELF), 1));
     tick();
     runtime.run(3_000_000);
   }
@@ -83,7 +83,7 @@
   }
 
   @Override
-  public void learnt(EpochRecord record) {
+  public void onRecordLearned(EpochRecord record) {
     // There is no agent.
   }
 
--- a/src/test/java/org/otterpond/control/state/ReplicatedStateTest.java
+++ b/src/test/java/org/otterpond/control/state/ReplicatedStateTest.java
@@ -20,9 +20,9 @@
 
     state.apply(new KeyReleaseEntry("key", "other"), 0);
 
-    assertEquals("token", state.claim("key").token());
+    assertEquals("token", state.keyLock("key").token());
     state.apply(new KeyReleaseEntry("key", "token"), 0);
-    assertNull(state.claim("key"));
+    assertNull(state.keyLock("key"));
   }
 
   @Test
@@ -32,8 +32,8 @@
 
     state.expire(WINDOW_MICROS + 1);
 
-    assertNull(state.claim("old"));
-    assertEquals("", state.claim("young").holder());
+    assertNull(state.keyLock("old"));
+    assertEquals("", state.keyLock("young").holder());
   }
 
   @Test
@@ -58,7 +58,7 @@
     Assignments assignments = state.assignments();
     assertEquals(3, assignments.number());
     assertEquals("a:1", assignments.newerThan(2).get(0).text("key"));
-    assertEquals(1, assignments.under("a:").size());
+    assertEquals(1, assignments.withPrefix("a:").size());
     assertNotNull(assignments.get("a:1"));
   }
 
@@ -71,8 +71,8 @@
   void givenSlowStart_whenRecorded_thenTheRemainingTimeIsKept() {
     WorkerInstance worker = worker("w", WorkerState.IN_SERVICE).worker().withWarmUntil(1_500);
 
-    assertEquals(500, WorkerEntry.of(worker, 1_000).worker().warmUntil());
-    assertEquals(0, WorkerEntry.of(worker, 2_000).worker().warmUntil());
+    assertEquals(500, WorkerEntry.of(worker, 1_000).worker().slowStartEndMicros());
+    assertEquals(0, WorkerEntry.of(worker, 2_000).worker().slowStartEndMicros());
   }
 
   private static WorkerEntry worker(String id, WorkerState workerState) {
--- a/src/test/java/org/otterpond/net/ServerExchanges.java
+++ b/src/test/java/org/otterpond/net/ServerExchanges.java
@@ -5,7 +5,7 @@
   private ServerExchanges() {}
 
   /** Returns an exchange whose request arrived at the given time. */
-  public static ServerExchange receivedAt(HttpMessage request, long micros) {
+  public static ServerExchange receivedAtMicros(HttpMessage request, long micros) {
     return new ServerExchange(request, micros, null);
   }
 }
--- a/src/test/java/org/otterpond/proxy/RequestQueueTest.java
+++ b/src/test/java/org/otterpond/proxy/RequestQueueTest.java
@@ -23,7 +23,10 @@
             "r", "h", "/", RouteType.IDEMPOTENT, 0, 0, priority, List.of(), 1, true, false, 0);
     RequestContext request =
         new RequestContext(
-            ServerExchanges.receivedAt(HttpMessage.request("GET", "/"), 0), route, null, null);
+            ServerExchanges.receivedAtMicros(HttpMessage.request("GET", "/"), 0),
+            route,
+            null,
+            null);
     request.setTimeLimits(deadlineMicros, QUEUE_MICROS);
     return request;
   }
--- a/src/test/java/org/otterpond/replication/RestartAfterCleaningTest.java
+++ b/src/test/java/org/otterpond/replication/RestartAfterCleaningTest.java
@@ -62,7 +62,7 @@
 
     replica.replayed();
 
-    assertTrue(replica.involved());
+    assertTrue(replica.isInvolved());
     assertEquals(AS_MEMBER, replica.view());
     assertEquals(52, replica.committed());
     assertEquals(List.of("p2", "e51", "p1", "e52"), state.ids);
@@ -117,7 +117,7 @@
 
     replica.replayed();
 
-    assertTrue(replica.involved());
+    assertTrue(replica.isInvolved());
     assertEquals(List.of("p1"), state.ids);
     assertEquals(60, replica.committed());
   }
--- a/src/test/java/org/otterpond/simulation/ClusterScaleTest.java
+++ b/src/test/java/org/otterpond/simulation/ClusterScaleTest.java
@@ -69,7 +69,7 @@
       SimulatedNode primary = cluster.primary();
       SimulatedNode otherMember =
           cluster.coreNodes.stream()
-              .filter(node -> primary.agent.known().inGroup(node.disk.id) && node != primary)
+              .filter(node -> primary.agent.known().isInGroup(node.disk.id) && node != primary)
               .findFirst()
               .orElseThrow();
       for (SimulatedNode failing : List.of(primary, otherMember)) {
@@ -133,7 +133,7 @@
 
     SimulatedNode wiped =
         cluster.coreNodes.stream()
-            .filter(node -> !cluster.primary().agent.known().inGroup(node.disk.id))
+            .filter(node -> !cluster.primary().agent.known().isInGroup(node.disk.id))
             .findFirst()
             .orElseThrow();
     wiped.losePower();
--- a/src/test/java/org/otterpond/simulation/CoreMembershipChangeTest.java
+++ b/src/test/java/org/otterpond/simulation/CoreMembershipChangeTest.java
@@ -61,7 +61,7 @@
       SimulatedNode next = backup(cluster);
       next.kill();
       cluster.world.run(RECOVERY_MICROS);
-      assertFalse(currentEpoch(cluster).inGroup(draining.disk.id), cluster::recentEvents);
+      assertFalse(currentEpoch(cluster).isInGroup(draining.disk.id), cluster::recentEvents);
       next.start();
       cluster.world.run(RECOVERY_MICROS);
     }
@@ -79,7 +79,7 @@
     cluster.world.network.heal();
     cluster.world.run(450_000);
 
-    assertFalse(currentEpoch(cluster).inGroup(draining.disk.id), cluster::recentEvents);
+    assertFalse(currentEpoch(cluster).isInGroup(draining.disk.id), cluster::recentEvents);
     assertFalse(draining.agent.needed());
   }
 
@@ -115,7 +115,7 @@
     assertEquals(6, currentEpoch(cluster).members().size(), cluster::recentEvents);
     SimulatedNode late =
         cluster.coreNodes.stream()
-            .filter(node -> !currentEpoch(cluster).inGroup(node.disk.id))
+            .filter(node -> !currentEpoch(cluster).isInGroup(node.disk.id))
             .findFirst()
             .orElseThrow();
 
--- a/src/test/java/org/otterpond/simulation/CoreRecoveryTest.java
+++ b/src/test/java/org/otterpond/simulation/CoreRecoveryTest.java
@@ -46,7 +46,7 @@
       List<SimulatedNode> group =
           new ArrayList<>(
               cluster.coreNodes.stream()
-                  .filter(node -> cluster.primary().agent.known().inGroup(node.disk.id))
+                  .filter(node -> cluster.primary().agent.known().isInGroup(node.disk.id))
                   .toList());
       assertEquals(3, group.size());
 
@@ -111,7 +111,7 @@
     assertTrue(
         node.agent.revision() > 0,
         () -> node.address + " has no configuration\n" + cluster.recentEvents());
-    long staleMicros = cluster.world.now() - node.agent.freshAt();
+    long staleMicros = cluster.world.now() - node.agent.configurationConfirmedAt();
     assertTrue(
         staleMicros < SECOND_MICROS,
         () ->
@@ -139,7 +139,7 @@
       assertTrue(
           cluster.checker.keyGrants > before + 10,
           () -> "key locks wait for a stalled disk\n" + cluster.recentEvents());
-      assertFalse(cluster.primary().agent.known().inGroup(stalled.disk.id));
+      assertFalse(cluster.primary().agent.known().isInGroup(stalled.disk.id));
       stalled.disk.stalled = false;
       assertRecovers(cluster, 5 * SECOND_MICROS);
     }
--- a/src/test/java/org/otterpond/simulation/FailureDomainTest.java
+++ b/src/test/java/org/otterpond/simulation/FailureDomainTest.java
@@ -107,7 +107,7 @@
 
     inOtherZone.start();
     cluster.world.run(RECOVERY_MICROS);
-    assertTrue(currentEpoch(cluster).inGroup(inOtherZone.disk.id), cluster::recentEvents);
+    assertTrue(currentEpoch(cluster).isInGroup(inOtherZone.disk.id), cluster::recentEvents);
     assertNoFurtherEpoch(cluster, 20 * SECOND_MICROS);
   }
 }
--- a/src/test/java/org/otterpond/simulation/IsolatedCoreMemberTest.java
+++ b/src/test/java/org/otterpond/simulation/IsolatedCoreMemberTest.java
@@ -120,8 +120,8 @@
               node ->
                   switch (role) {
                     case PRIMARY -> node == cluster.primary();
-                    case BACKUP -> epoch.rankOf(node.disk.id) == 0;
-                    case WITNESS -> !epoch.inGroup(node.disk.id);
+                    case BACKUP -> epoch.backupRank(node.disk.id) == 0;
+                    case WITNESS -> !epoch.isInGroup(node.disk.id);
                   })
           .findFirst()
           .orElseThrow();
@@ -135,7 +135,7 @@
       EpochRecord epoch = primary.agent.known();
       for (SimulatedNode other : cluster.coreNodes) {
         boolean isPartner =
-            role == Role.PRIMARY ? epoch.rankOf(other.disk.id) == 0 : other == primary;
+            role == Role.PRIMARY ? epoch.backupRank(other.disk.id) == 0 : other == primary;
         if (other == victim || (isolation == Isolation.PARTNER_ONLY && !isPartner)) {
           continue;
         }
--- a/src/test/java/org/otterpond/simulation/LongConfigurationTest.java
+++ b/src/test/java/org/otterpond/simulation/LongConfigurationTest.java
@@ -98,7 +98,7 @@
     cluster.world.run(12 * SECOND_MICROS);
     assertAllActive(cluster, 4);
     for (SimulatedNode node : cluster.nodes) {
-      assertEquals(1_004_000L, node.configuration.route("h1.example", "/p1/x").guardMicros());
+      assertEquals(1_004_000L, node.configuration.route("h1.example", "/p1/x").timeoutMicros());
     }
 
     assertEquals(
--- a/src/test/java/org/otterpond/simulation/QuotaAndAccessKeyTest.java
+++ b/src/test/java/org/otterpond/simulation/QuotaAndAccessKeyTest.java
@@ -129,6 +129,6 @@
   }
 
   private static long staleForMicros(SimulatedCluster cluster, SimulatedNode node) {
-    return cluster.world.now() - node.agent.freshAt();
+    return cluster.world.now() - node.agent.configurationConfirmedAt();
   }
 }
--- a/src/test/java/org/otterpond/simulation/ReplicaGroupTest.java
+++ b/src/test/java/org/otterpond/simulation/ReplicaGroupTest.java
@@ -146,7 +146,7 @@
     for (SimulatedReplicaGroup.Member member : group.members.values()) {
       GroupConfiguration reported = member.group.view();
       List<String> wanted = List.of(reported.primary(), "newcomer@x:1");
-      member.group.learn(reported.wanting(wanted));
+      member.group.learn(reported.withWantedMembers(wanted));
       member.group.onMessage(
           reported.primary(),
           new WireRecord("group.view")
--- a/src/test/java/org/otterpond/simulation/StorageNodeChangeTest.java
+++ b/src/test/java/org/otterpond/simulation/StorageNodeChangeTest.java
@@ -58,11 +58,11 @@
     messages.checker.requiresSingleExecution = true;
     SimulatedNode draining = messages.cluster.storageNodes.get((int) (seed % 6));
 
-    for (int i = 0; i < 30 && !draining.messageStore.handedOver(); i++) {
+    for (int i = 0; i < 30 && !draining.messageStore.isDrained(); i++) {
       draining.perform(draining.messageStore::retire);
       messages.world.run(100_000);
     }
-    assertTrue(draining.messageStore.handedOver(), messages.cluster::recentEvents);
+    assertTrue(draining.messageStore.isDrained(), messages.cluster::recentEvents);
 
     messages.world.run(200_000);
     draining.kill();
