--- a/src/main/java/org/otterpond/control/agent/ActiveConfiguration.java
+++ b/src/main/java/org/otterpond/control/agent/ActiveConfiguration.java
@@ -4,10 +4,10 @@
 import java.util.Deque;
 import java.util.function.Consumer;
 import org.otterpond.config.GatewayConfiguration;
+import org.otterpond.control.configuration.ConfigurationParsing;
+import org.otterpond.control.configuration.ConfigurationUpdateParser;
+import org.otterpond.control.configuration.ParsedConfiguration;
 import org.otterpond.control.message.ConfigurationUpdate;
-import org.otterpond.control.state.ConfigurationParsing;
-import org.otterpond.control.state.ConfigurationUpdateParser;
-import org.otterpond.control.state.ParsedConfiguration;
 import org.otterpond.runtime.NodeRuntime;
 
 /**
@@ -83,8 +83,7 @@
   }
 
   private void parse(ConfigurationUpdate update) {
-    ConfigurationUpdateParser parser =
-        new ConfigurationUpdateParser(update.toWireRecord(), current);
+    ConfigurationUpdateParser parser = new ConfigurationUpdateParser(update, current);
     parsing = true;
     ConfigurationParsing.run(
         runtime,
@@ -116,7 +115,7 @@
   }
 
   private void apply(ParsedConfiguration configuration) {
-    onApplied.accept(configuration.checked());
+    onApplied.accept(configuration.configuration());
     current = configuration;
     needsFullText = false;
     runtime.event("event=configuration_applied revision=" + configuration.revision());
--- a/src/main/java/org/otterpond/control/agent/ControlPlaneAgent.java
+++ b/src/main/java/org/otterpond/control/agent/ControlPlaneAgent.java
@@ -209,7 +209,7 @@
 
   /** The approximate length of the text of the configuration in use, in characters. */
   public int configurationSize() {
-    return configuration.current().size();
+    return configuration.current().textLength();
   }
 
   /** The revision of the configuration in use, 0 before the first. */
--- a/src/main/java/org/otterpond/control/state/ConfigurationParsing.java
+++ b/src/main/java/org/otterpond/control/configuration/ConfigurationParsing.java
@@ -1,4 +1,4 @@
-package org.otterpond.control.state;
+package org.otterpond.control.configuration;
 
 import org.otterpond.runtime.NodeRuntime;
 
--- a/src/main/java/org/otterpond/control/state/ConfigurationUpdateParser.java
+++ b/src/main/java/org/otterpond/control/configuration/ConfigurationUpdateParser.java
@@ -1,55 +1,41 @@
-package org.otterpond.control.state;
+package org.otterpond.control.configuration;
 
 import com.google.gson.JsonObject;
 import org.otterpond.config.ConfigException;
 import org.otterpond.config.ConfigurationParser;
 import org.otterpond.config.JsonFields;
+import org.otterpond.control.message.ConfigurationChange;
+import org.otterpond.control.message.ConfigurationUpdate;
 import org.otterpond.protocol.ProtocolException;
-import org.otterpond.protocol.WireRecord;
 
 /**
- * Parses and validates the configuration update of a poll response.
+ * Parses and validates the configuration update.
  *
  * <p>{@link #run} touches nothing but what the parser was created with, so it may run on any
  * thread; {@link #result} and {@link #cause} are read after it has returned.
  */
 public final class ConfigurationUpdateParser implements Runnable {
-  private final WireRecord response;
-  private final ParsedConfiguration current;
   private final ConfigurationUpdate update;
+  private final ParsedConfiguration current;
   private ParsedConfiguration result;
-  private String cause;
+  private String cause = "parsing did not complete";
 
   /**
    * Creates a parser.
    *
-   * @param response the poll response
+   * @param update the update to parse
    * @param current the configuration that changes are applied to
    */
-  public ConfigurationUpdateParser(WireRecord response, ParsedConfiguration current) {
-    this.response = response;
+  public ConfigurationUpdateParser(ConfigurationUpdate update, ParsedConfiguration current) {
+    this.update = update;
     this.current = current;
-    ConfigurationUpdate decoded = null;
-    try {
-      decoded = ConfigurationUpdate.of(response);
-      cause = "parsing did not complete";
-    } catch (ProtocolException e) {
-      cause = e.getMessage();
-    }
-    update = decoded;
   }
 
   /** Returns whether parsing should run off the owner thread. */
   public boolean isLong() {
-    if (update instanceof ConfigurationUpdate.Complete complete) {
-      return ParsedConfiguration.isLong(0, complete.text().compressedBytes());
-    }
-    return ParsedConfiguration.isLong(current.size(), 0);
-  }
-
-  /** Returns the poll response that this parser was created with. */
-  public WireRecord news() {
-    return response;
+    return update.isComplete()
+        ? ParsedConfiguration.isLong(0, update.text().length())
+        : ParsedConfiguration.isLong(current.textLength(), 0);
   }
 
   /** Returns the new configuration, or null if there is none. */
@@ -67,11 +53,8 @@
 
   @Override
   public void run() {
-    if (update == null) {
-      return;
-    }
     try {
-      JsonObject next = parseUpdate();
+      JsonObject next = update.isComplete() ? JsonFields.parse(update.text().text()) : changed();
       if (next != null) {
         result =
             new ParsedConfiguration(
@@ -83,24 +66,16 @@
     }
   }
 
-  private JsonObject parseUpdate() throws ConfigException, ProtocolException {
-    if (update instanceof ConfigurationUpdate.Complete complete) {
-      return JsonFields.parse(complete.text().decompressed());
-    }
-    return applyChanges((ConfigurationUpdate.Changes) update);
-  }
-
   /** Returns the changed configuration, or null if a change applies to another revision. */
-  private JsonObject applyChanges(ConfigurationUpdate.Changes changes)
-      throws ConfigException, ProtocolException {
-    JsonObject next = current.whole();
+  private JsonObject changed() throws ConfigException, ProtocolException {
+    JsonObject next = current.json();
     long revision = current.revision();
-    for (ConfigurationUpdate.Change change : changes.changes()) {
-      if (change.base() != revision) {
+    for (ConfigurationChange change : update.changes()) {
+      if (change.baseRevision() != revision) {
         return null;
       }
-      JsonObject body = JsonFields.parse(change.body().decompressed());
-      next = ConfigurationParser.modify(next, body);
+      JsonObject modification = JsonFields.parse(change.modification().text());
+      next = ConfigurationParser.modify(next, modification);
       revision = change.revision();
     }
     return next;
--- a/src/main/java/org/otterpond/control/state/ParsedConfiguration.java
+++ b/src/main/java/org/otterpond/control/configuration/ParsedConfiguration.java
@@ -1,4 +1,4 @@
-package org.otterpond.control.state;
+package org.otterpond.control.configuration;
 
 import com.google.gson.JsonObject;
 import org.otterpond.config.GatewayConfiguration;
@@ -7,12 +7,12 @@
  * A revision of the configuration together with its parsed forms.
  *
  * @param revision the revision
- * @param whole the complete JSON object; must not be changed
- * @param checked the validated configuration; null in {@link #NONE}
- * @param size length of the JSON text in characters
+ * @param json the complete JSON object; must not be changed
+ * @param configuration the validated configuration; null in {@link #NONE}
+ * @param textLength length of the JSON text in characters
  */
 public record ParsedConfiguration(
-    long revision, JsonObject whole, GatewayConfiguration checked, int size) {
+    long revision, JsonObject json, GatewayConfiguration configuration, int textLength) {
   /** The state before the first configuration. */
   public static final ParsedConfiguration NONE =
       new ParsedConfiguration(0, new JsonObject(), null, 0);
@@ -24,10 +24,10 @@
    * Returns whether parsing would block the owner thread long enough to delay responses to other
    * nodes, so that it should run on another thread.
    *
-   * @param textLength length of the uncompressed part, in characters
-   * @param packedLength length of the compressed part, in bytes
+   * @param textCharacters length of the uncompressed part
+   * @param compressedBytes length of the compressed part
    */
-  public static boolean isLong(int textLength, int packedLength) {
-    return textLength > LONG_TEXT_CHARACTERS || packedLength > LONG_COMPRESSED_BYTES;
+  public static boolean isLong(int textCharacters, int compressedBytes) {
+    return textCharacters > LONG_TEXT_CHARACTERS || compressedBytes > LONG_COMPRESSED_BYTES;
   }
 }
--- a/src/main/java/org/otterpond/control/epoch/CommittedConfiguration.java
+++ b/src/main/java/org/otterpond/control/epoch/CommittedConfiguration.java
@@ -1,6 +1,7 @@
 package org.otterpond.control.epoch;
 
 import org.otterpond.control.state.CompressedText;
+import org.otterpond.control.state.ConfigurationEntry;
 import org.otterpond.control.state.ReplicatedState;
 import org.otterpond.protocol.WireRecord;
 
@@ -9,7 +10,6 @@
  * of it by what is not committed yet.
  */
 final class CommittedConfiguration {
-  private static final String CONFIGURATION_KIND = "config";
   private static final String REVISION = "rev";
 
   private long revision;
@@ -32,7 +32,7 @@
 
   /** Takes over a committed entry if it is a configuration. */
   void update(WireRecord entry) {
-    if (entry.kind().equals(CONFIGURATION_KIND)) {
+    if (entry.kind().equals(ConfigurationEntry.KIND)) {
       revision = entry.number(REVISION);
       text = CompressedText.of(entry);
     }
--- a/src/main/java/org/otterpond/control/epoch/EpochReplica.java
+++ b/src/main/java/org/otterpond/control/epoch/EpochReplica.java
@@ -2,7 +2,6 @@
 
 import java.util.List;
 import java.util.Optional;
-import java.util.Set;
 import java.util.function.Consumer;
 import org.otterpond.control.epoch.message.AcceptRecord;
 import org.otterpond.control.epoch.message.BegunRecord;
@@ -10,11 +9,11 @@
 import org.otterpond.control.epoch.message.EpochMessageDecoder;
 import org.otterpond.control.epoch.message.PromiseRecord;
 import org.otterpond.control.epoch.message.SnapshotRecord;
-import org.otterpond.control.state.Assignments;
 import org.otterpond.control.state.CompressedText;
 import org.otterpond.control.state.CoreMember;
 import org.otterpond.control.state.EpochRecord;
 import org.otterpond.control.state.FaultTolerance;
+import org.otterpond.control.state.ReplicatedEntryDecoder;
 import org.otterpond.control.state.ReplicatedState;
 import org.otterpond.protocol.ProtocolException;
 import org.otterpond.protocol.WireRecord;
@@ -34,10 +33,8 @@
  */
 public final class EpochReplica {
   /** The kinds of the replicated entries, which {@link ReplicatedState} applies. */
-  private static final Set<String> ENTRY_KINDS =
-      Set.of("claim", "free", "config", "worker", Assignments.KIND);
-
   private final EpochContext context;
+
   private final EpochTransitions transitions;
   private final DurableVoteState votes;
   private final KnownRecord known;
@@ -107,7 +104,7 @@
   }
 
   private void replayEntry(WireRecord entry) {
-    if (ENTRY_KINDS.contains(entry.kind())) {
+    if (ReplicatedEntryDecoder.isEntry(entry.kind())) {
       context.state().apply(entry, context.now());
     } else {
       context.runtime().event("event=journal_record_skipped kind=" + entry.kind());
--- a/src/main/java/org/otterpond/control/primary/ConfigurationChanges.java
+++ b/src/main/java/org/otterpond/control/primary/ConfigurationChanges.java
@@ -6,6 +6,9 @@
 import java.util.List;
 import java.util.function.Consumer;
 import org.otterpond.config.GatewayConfiguration;
+import org.otterpond.control.configuration.ConfigurationParsing;
+import org.otterpond.control.configuration.ConfigurationUpdateParser;
+import org.otterpond.control.configuration.ParsedConfiguration;
 import org.otterpond.control.epoch.EpochReplica;
 import org.otterpond.control.message.CompressedBytes;
 import org.otterpond.control.message.ConfigurationChange;
@@ -15,9 +18,7 @@
 import org.otterpond.control.message.ReadConfigurationRequest;
 import org.otterpond.control.message.WriteConfigurationReply;
 import org.otterpond.control.message.WriteConfigurationRequest;
-import org.otterpond.control.state.ConfigurationParsing;
-import org.otterpond.control.state.ConfigurationUpdateParser;
-import org.otterpond.control.state.ParsedConfiguration;
+import org.otterpond.control.state.ConfigurationEntry;
 import org.otterpond.protocol.ProtocolException;
 import org.otterpond.runtime.NodeRuntime;
 
@@ -81,7 +82,7 @@
     if (newest != null && newest.revision() == revision) {
       use(newest);
     } else if (active.revision() == revision) {
-      if (active.checked() != null) {
+      if (active.configuration() != null) {
         use(active);
       }
     } else if (replica.committedConfiguration() != null) {
@@ -98,7 +99,7 @@
     ConfigurationUpdate update =
         ConfigurationUpdate.complete(revision, replica.compressedConfiguration());
     ConfigurationUpdateParser parser =
-        new ConfigurationUpdateParser(update.toWireRecord(), ParsedConfiguration.NONE);
+        new ConfigurationUpdateParser(update, ParsedConfiguration.NONE);
     ConfigurationParsing.run(
         runtime, parser.isLong(), parser, () -> parsedCommitted(revision, parser));
   }
@@ -114,7 +115,7 @@
 
   private void use(ParsedConfiguration configuration) {
     newest = configuration;
-    listener.inForce(configuration.checked());
+    listener.inForce(configuration.configuration());
   }
 
   /**
@@ -237,7 +238,8 @@
   private void propose(PendingWrite write, ConfigurationWriteParser parser) {
     boolean accepted =
         replica.propose(
-            LogEntries.configuration(parser.revision(), parser.resultText(), write.digest),
+            new ConfigurationEntry(parser.revision(), parser.resultText(), write.digest)
+                .toWireRecord(),
             () -> committed(write, parser));
     if (!accepted) {
       pending = null;
--- a/src/main/java/org/otterpond/control/primary/ConfigurationWriteParser.java
+++ b/src/main/java/org/otterpond/control/primary/ConfigurationWriteParser.java
@@ -4,9 +4,9 @@
 import org.otterpond.config.ConfigException;
 import org.otterpond.config.ConfigurationParser;
 import org.otterpond.config.JsonFields;
+import org.otterpond.control.configuration.ParsedConfiguration;
 import org.otterpond.control.message.WriteConfigurationRequest;
 import org.otterpond.control.state.CompressedText;
-import org.otterpond.control.state.ParsedConfiguration;
 
 /**
  * Parses a change of the configuration and applies it to the current one.
@@ -115,7 +115,7 @@
 
   private JsonObject currentConfiguration() throws ConfigException {
     if (current != null) {
-      return current.whole();
+      return current.json();
     }
     return currentText == null ? new JsonObject() : JsonFields.parse(currentText.unpacked());
   }
--- a/src/main/java/org/otterpond/control/primary/IdempotencyKeyLocks.java
+++ b/src/main/java/org/otterpond/control/primary/IdempotencyKeyLocks.java
@@ -13,6 +13,8 @@
 import org.otterpond.control.message.ReleaseKeyRequest;
 import org.otterpond.control.message.TokenGrant;
 import org.otterpond.control.state.IdempotencyKeyLock;
+import org.otterpond.control.state.KeyLockEntry;
+import org.otterpond.control.state.KeyReleaseEntry;
 import org.otterpond.control.state.ReplicatedState;
 
 /**
@@ -75,7 +77,7 @@
     pendingReplies.put(request.token(), new ArrayList<>(List.of(reply)));
     boolean accepted =
         writer.propose(
-            LogEntries.keyLock(request.key(), request.token(), request.holder()),
+            new KeyLockEntry(request.key(), request.token(), request.holder()).toWireRecord(),
             () -> committed(request, grant));
     if (!accepted) {
       pendingReplies.remove(request.token());
@@ -109,7 +111,7 @@
     IdempotencyKeyLock lock = state.keyLock(request.key());
     if (lock != null && lock.token().equals(request.token())) {
       writer.propose(
-          LogEntries.keyRelease(request.key(), request.token()),
+          new KeyReleaseEntry(request.key(), request.token()).toWireRecord(),
           () -> reply.accept(new AcknowledgedReply()));
     } else {
       proof.confirmed(reply).accept(new AcknowledgedReply());
--- a/src/main/java/org/otterpond/control/primary/WorkerReportHandler.java
+++ b/src/main/java/org/otterpond/control/primary/WorkerReportHandler.java
@@ -7,6 +7,7 @@
 import org.otterpond.control.message.PrimaryReply;
 import org.otterpond.control.message.WorkerReport;
 import org.otterpond.control.message.WorkerStateRequest;
+import org.otterpond.control.state.WorkerEntry;
 import org.otterpond.control.state.WorkerInstance;
 import org.otterpond.control.state.WorkerState;
 import org.otterpond.runtime.NodeRuntime;
@@ -89,6 +90,6 @@
   }
 
   private void write(WorkerInstance worker, Runnable committed) {
-    core.writer().propose(LogEntries.worker(worker, runtime.now()), committed);
+    core.writer().propose(WorkerEntry.of(worker, runtime.now()).toWireRecord(), committed);
   }
 }
--- a/src/main/java/org/otterpond/control/state/package-info.java
+++ b/src/main/java/org/otterpond/control/state/package-info.java
@@ -8,8 +8,8 @@
  * members; {@link org.otterpond.control.state.FaultTolerance} chooses them.
  *
  * <p>Mutable types are confined to the owner thread of the node. {@link
- * org.otterpond.control.state.ConfigurationUpdateParser} may run on another thread, as it touches
- * only what it was given.
+ * org.otterpond.control.configuration.ConfigurationUpdateParser} may run on another thread, as it
+ * touches only what it was given.
  *
  * <p>May depend on {@code protocol} and {@code config}.
  */
--- a/src/test/java/org/otterpond/architecture/PackageDependenciesTest.java
+++ b/src/test/java/org/otterpond/architecture/PackageDependenciesTest.java
@@ -26,6 +26,7 @@
           "replication",
           "control.state",
           "control.message",
+          "control.configuration",
           "control.bootstrap",
           "control.epoch.message",
           "control.epoch",
--- a/src/test/java/org/otterpond/control/state/ConfigurationUpdateParserTest.java
+++ b/src/test/java/org/otterpond/control/configuration/ConfigurationUpdateParserTest.java
@@ -1,19 +1,24 @@
-package org.otterpond.control.state;
+package org.otterpond.control.configuration;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
 import static org.junit.jupiter.api.Assertions.assertNull;
+import static org.junit.jupiter.api.Assertions.assertThrows;
 
 import java.util.List;
 import org.junit.jupiter.api.Test;
+import org.otterpond.control.message.ConfigurationUpdate;
 import org.otterpond.protocol.CompressedPayload;
+import org.otterpond.protocol.ProtocolException;
 import org.otterpond.protocol.WireRecord;
 
 class ConfigurationUpdateParserTest {
   private static final String COMPLETE = "{\"revision\":3,\"route_table\":[],\"service_table\":[]}";
 
-  private static ConfigurationUpdateParser parsed(WireRecord news, ParsedConfiguration current) {
-    ConfigurationUpdateParser parser = new ConfigurationUpdateParser(news, current);
+  private static ConfigurationUpdateParser parsed(WireRecord news, ParsedConfiguration current)
+      throws ProtocolException {
+    ConfigurationUpdateParser parser =
+        new ConfigurationUpdateParser(ConfigurationUpdate.of(news), current);
     parser.run();
     return parser;
   }
@@ -32,24 +37,25 @@
   }
 
   @Test
-  void givenCompleteText_whenParsed_thenItIsTheResult() {
+  void givenCompleteText_whenParsed_thenItIsTheResult() throws ProtocolException {
     ParsedConfiguration result = parsed(complete(), ParsedConfiguration.NONE).result();
 
     assertEquals(3, result.revision());
-    assertEquals(3, result.checked().revision());
+    assertEquals(3, result.configuration().revision());
   }
 
   @Test
-  void givenChangesOneAfterAnother_whenParsed_thenAllAreApplied() {
+  void givenChangesOneAfterAnother_whenParsed_thenAllAreApplied() throws ProtocolException {
     ParsedConfiguration current = parsed(complete(), ParsedConfiguration.NONE).result();
 
     WireRecord news = news(5).withRecords("changes", List.of(change(3, 4), change(4, 5)));
 
-    assertEquals(5, parsed(news, current).result().checked().revision());
+    assertEquals(5, parsed(news, current).result().configuration().revision());
   }
 
   @Test
-  void givenChangeToAnotherRevision_whenParsed_thenThereIsNeitherResultNorCause() {
+  void givenChangeToAnotherRevision_whenParsed_thenThereIsNeitherResultNorCause()
+      throws ProtocolException {
     WireRecord news = news(5).withRecords("changes", List.of(change(4, 5)));
 
     ConfigurationUpdateParser parser = parsed(news, ParsedConfiguration.NONE);
@@ -59,13 +65,13 @@
   }
 
   @Test
-  void givenMalformedUpdate_whenParsed_thenTheCauseNamesIt() {
+  void givenMalformedUpdate_whenParsed_thenTheCauseNamesIt() throws ProtocolException {
     WireRecord noBase = new WireRecord("change").with("rev", 5L);
     WireRecord news = news(5).withRecords("changes", List.of(noBase));
 
-    assertEquals(
-        "kind change lacks the required field base",
-        parsed(news, ParsedConfiguration.NONE).cause());
+    ProtocolException malformed =
+        assertThrows(ProtocolException.class, () -> ConfigurationUpdate.of(news));
+    assertEquals("kind change lacks the required field base", malformed.getMessage());
     assertNotNull(parsed(news(5).with("text", new byte[] {1}), ParsedConfiguration.NONE).cause());
   }
 }
