--- a/src/main/java/org/otterpond/server/MetricsPage.java
+++ b/src/main/java/org/otterpond/server/MetricsPage.java
@@ -9,80 +9,102 @@
 import org.otterpond.control.agent.ControlPlaneAgent;
 import org.otterpond.net.EventLoop;
 import org.otterpond.net.HttpMessage;
+import org.otterpond.net.ServerExchange;
 import org.otterpond.proxy.ProxyHandler;
 import org.otterpond.proxy.ProxyMetrics;
 
 /**
- * The metrics, by Micrometer. The registry is made when it is first asked for, to keep a quiet node
- * small.
+ * The metrics in the text format of Prometheus. The registry is created by the first request, which
+ * keeps a node that nobody scrapes small.
  */
 final class MetricsPage {
-  private final ProxyMetrics tally;
+  private static final String CONTENT_TYPE = "text/plain; version=0.0.4; charset=utf-8";
+  private static final double MICROS_PER_SECOND = 1e6;
+
+  private final ProxyMetrics metrics;
   private final ProxyHandler proxy;
-  private final ControlPlaneAgent node;
+  private final ControlPlaneAgent agent;
   private PrometheusMeterRegistry registry;
 
-  MetricsPage(ProxyMetrics tally, ProxyHandler proxy, ControlPlaneAgent node) {
-    this.tally = tally;
+  MetricsPage(ProxyMetrics metrics, ProxyHandler proxy, ControlPlaneAgent agent) {
+    this.metrics = metrics;
     this.proxy = proxy;
-    this.node = node;
+    this.agent = agent;
   }
 
-  HttpMessage page() {
+  /** Answers a scrape. */
+  void read(ServerExchange exchange, String name) {
     if (registry == null) {
-      registry = fill(new PrometheusMeterRegistry(PrometheusConfig.DEFAULT));
+      registry = new PrometheusMeterRegistry(PrometheusConfig.DEFAULT);
+      registerCounters(registry);
+      registerGauges(registry);
     }
-    return HttpMessage.response(200)
-        .header("Content-Type", "text/plain; version=0.0.4; charset=utf-8")
-        .body(registry.scrape().getBytes(StandardCharsets.UTF_8));
+    exchange.answer(
+        HttpMessage.response(200)
+            .header("Content-Type", CONTENT_TYPE)
+            .body(registry.scrape().getBytes(StandardCharsets.UTF_8)));
   }
 
-  private PrometheusMeterRegistry fill(PrometheusMeterRegistry r) {
-    count(r, "otterpond.requests", "Requests received", tally.requests);
-    count(r, "otterpond.requests.unrouted", "Requests with no route", tally.unrouted);
-    count(r, "otterpond.attempts", "Requests sent to a worker", tally.attempts);
-    count(r, "otterpond.attempts.retried", "Attempts after the first", tally.retries);
-    count(r, "otterpond.attempts.hedged", "Attempts made beside one still open", tally.hedges);
+  private void registerCounters(PrometheusMeterRegistry meters) {
+    count(meters, "otterpond.requests", "Requests received", metrics.requests);
+    count(meters, "otterpond.requests.unrouted", "Requests with no route", metrics.unrouted);
+    count(meters, "otterpond.attempts", "Requests sent to a worker", metrics.attempts);
+    count(meters, "otterpond.attempts.retried", "Attempts after the first", metrics.retries);
+    count(
+        meters, "otterpond.attempts.hedged", "Attempts made beside one still open", metrics.hedges);
     count(
-        r,
+        meters,
         "otterpond.attempts.turned_away",
         "Attempts that a worker disowned",
-        tally.rejectedByWorker);
-    count(r, "otterpond.attempts.failed", "Attempts without a whole answer", tally.failedAttempts);
-    count(r, "otterpond.answers", "Answers of workers passed on", tally.responses);
-    count(r, "otterpond.refusals", "Requests refused unrun", tally.rejected);
-    count(r, "otterpond.timeouts", "Requests that reached their deadline", tally.timeouts);
-    count(r, "otterpond.replays", "Repeats answered from the ledger", tally.replays);
+        metrics.rejectedByWorker);
+    count(
+        meters,
+        "otterpond.attempts.failed",
+        "Attempts without a whole answer",
+        metrics.failedAttempts);
+    count(meters, "otterpond.answers", "Answers of workers passed on", metrics.responses);
+    count(meters, "otterpond.refusals", "Requests refused unrun", metrics.rejected);
+    count(meters, "otterpond.timeouts", "Requests that reached their deadline", metrics.timeouts);
+    count(meters, "otterpond.replays", "Repeats answered from the ledger", metrics.replays);
     count(
-        r,
+        meters,
         "otterpond.requests.unauthorised",
         "Requests without a key that a tenant holds",
-        tally.unauthorized);
+        metrics.unauthorized);
     count(
-        r,
+        meters,
         "otterpond.requests.stale",
         "Requests refused as keys may have been withdrawn unheard",
-        tally.staleAccessKeys);
+        metrics.staleAccessKeys);
     count(
-        r,
+        meters,
         "otterpond.requests.over_quota",
         "Requests beyond their tenant's quota",
-        tally.overQuota);
-    Gauge.builder(
-            "otterpond.configuration.confirmed.age",
-            node,
-            n -> (EventLoop.now() - n.freshAt()) / 1e6)
+        metrics.overQuota);
+  }
+
+  private void registerGauges(PrometheusMeterRegistry meters) {
+    Gauge.builder("otterpond.configuration.confirmed.age", this, MetricsPage::confirmationAge)
         .baseUnit("seconds")
-        .register(r);
-    Gauge.builder("otterpond.requests.open", proxy, ProxyHandler::inFlight).register(r);
-    Gauge.builder("otterpond.configuration.revision", node, n -> n.revision()).register(r);
-    Gauge.builder("otterpond.epoch", node, n -> n.known() == null ? 0 : n.known().epoch())
-        .register(r);
-    Gauge.builder("otterpond.primary", node, n -> n.leading() ? 1 : 0).register(r);
-    return r;
+        .register(meters);
+    Gauge.builder("otterpond.requests.open", proxy, ProxyHandler::inFlight).register(meters);
+    Gauge.builder("otterpond.configuration.revision", agent, ControlPlaneAgent::revision)
+        .register(meters);
+    Gauge.builder("otterpond.epoch", agent, MetricsPage::epoch).register(meters);
+    Gauge.builder("otterpond.primary", agent, node -> node.leading() ? 1 : 0).register(meters);
+  }
+
+  /** Returns the seconds since the configuration was last confirmed to be the newest. */
+  private double confirmationAge() {
+    return (EventLoop.now() - agent.freshAt()) / MICROS_PER_SECOND;
+  }
+
+  private static long epoch(ControlPlaneAgent agent) {
+    return agent.known() == null ? 0 : agent.known().epoch();
   }
 
-  private static void count(PrometheusMeterRegistry r, String name, String what, LongAdder adder) {
-    FunctionCounter.builder(name, adder, LongAdder::sum).description(what).register(r);
+  private static void count(
+      PrometheusMeterRegistry meters, String name, String description, LongAdder adder) {
+    FunctionCounter.builder(name, adder, LongAdder::sum).description(description).register(meters);
   }
 }
--- a/src/main/java/org/otterpond/server/ProductionRuntime.java
+++ b/src/main/java/org/otterpond/server/ProductionRuntime.java
@@ -13,24 +13,35 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** The real world, for the state machines. */
+/**
+ * Runs the state machines of a node on its event loop, with the system clock, the network and the
+ * write-ahead log.
+ */
 final class ProductionRuntime implements NodeRuntime {
   private static final Logger LOG = LoggerFactory.getLogger("org.otterpond.control");
 
   private final EventLoop eventLoop;
-  private final ExecutorService reader =
+
+  /** Its one daemon thread ends with the process. */
+  private final ExecutorService backgroundExecutor =
       Executors.newSingleThreadExecutor(
           new ThreadFactoryBuilder().setNameFormat("reader").setDaemon(true).build());
-  private PeerTransport links;
+
+  private PeerTransport transport;
   private WriteAheadLogWriter logWriter;
 
   ProductionRuntime(EventLoop eventLoop) {
     this.eventLoop = eventLoop;
   }
 
-  void fit(PeerTransport l, WriteAheadLogWriter p) {
-    links = l;
-    logWriter = p;
+  /**
+   * Sets the network and the log; to be called once, before the first message is sent.
+   *
+   * @param writeAheadLogWriter null on a node without a core disk, which must not journal
+   */
+  void connect(PeerTransport peerTransport, WriteAheadLogWriter writeAheadLogWriter) {
+    transport = peerTransport;
+    logWriter = writeAheadLogWriter;
   }
 
   @Override
@@ -40,12 +51,12 @@
 
   @Override
   public void send(String address, WireRecord message) {
-    links.send(address, message);
+    transport.send(address, message);
   }
 
   @Override
   public long connection(String address) {
-    return links.connection(address);
+    return transport.connection(address);
   }
 
   @Override
@@ -60,7 +71,7 @@
 
   @Override
   public void apart(Runnable work, Runnable then) {
-    reader.execute(
+    backgroundExecutor.execute(
         () -> {
           try {
             work.run();
--- a/src/test/java/org/otterpond/server/CoreMemberShutdownTest.java
+++ b/src/test/java/org/otterpond/server/CoreMemberShutdownTest.java
@@ -10,10 +10,11 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A process of the core that is told to end: it holds one of the copies that are wanted. */
+/** Graceful shutdown of a core member whose replica of the state is still needed. */
 class CoreMemberShutdownTest {
   @Test
-  void memberThatNobodyCanReplaceStaysForItsWholeTime(@TempDir Path folder) throws Exception {
+  void memberThatCannotBeReplacedStaysUntilItsGracePeriodEnds(@TempDir Path folder)
+      throws Exception {
     int internal = LoopbackNode.freePort();
     int control = LoopbackNode.freePort();
     CountDownLatch ended = new CountDownLatch(1);
@@ -28,8 +29,8 @@
             + "\r\n\r\n"
             + config);
     leaver.leave();
-    assertFalse(ended.await(4, TimeUnit.SECONDS), "the other holds the only other copy");
-    assertTrue(ended.await(6, TimeUnit.SECONDS), "its time is up all the same");
+    assertFalse(ended.await(4, TimeUnit.SECONDS), "the other member has the only other replica");
+    assertTrue(ended.await(6, TimeUnit.SECONDS), "the grace period is over");
   }
 
   private static NodeServer start(Path folder, String ip, int internal, int control, Runnable end)
--- a/src/test/java/org/otterpond/server/GatewayLoopbackTest.java
+++ b/src/test/java/org/otterpond/server/GatewayLoopbackTest.java
@@ -48,9 +48,10 @@
             + "],\"subscribers\":["
             + "{\"name\":\"acme\",\"access_keys\":[\"key-a\",\"key-a2\"]},"
             + "{\"name\":\"bolt\",\"access_keys\":[\"key-b\"]},"
-            + "{\"name\":\"small\",\"access_keys\":[\"key-s\"],\"rate_per_s\":5,\"burst_size\":4}],\"service_table\":[{\"name\":\"s\"}],"
-            + "\"limits\":{\"max_header_bytes\":4096,\"max_body_bytes\":10000,\"header_timer_ms\":600,"
-            + "\"idle_timer_ms\":15000}}";
+            + "{\"name\":\"small\",\"access_keys\":[\"key-s\"],\"rate_per_s\":5,\"burst_size\":4}],"
+            + "\"service_table\":[{\"name\":\"s\"}],"
+            + "\"limits\":{\"max_header_bytes\":4096,\"max_body_bytes\":10000,"
+            + "\"header_timer_ms\":600,\"idle_timer_ms\":15000}}";
     node.configure(config);
     node.beat(worker.port());
     for (int i = 0; i < 100 && status(ask("GET /p/up")) != 200; i++) {
@@ -175,7 +176,7 @@
 
   @Test
   void pipelinedRequestsAreAnsweredInOrder() throws IOException {
-    worker.script = r -> ScriptedWorker.ok(r, r.split(" ")[1]);
+    worker.script = r -> ScriptedWorker.ok(r, ScriptedWorker.target(r));
     try (RawClient c = new RawClient(front)) {
       c.send(head("GET /p/one", "") + head("GET /p/two", "") + head("GET /p/three", ""));
       assertEquals("/p/one", body(c.answer()));
@@ -214,8 +215,8 @@
   void connectionHeadersStayBehindAndTheInstanceIsNamed() throws IOException {
     ask(
         "GET /p/x?q=1&r=%20",
-        "Connection: X-Mine\r\nX-Mine: 1\r\nKeep-Alive: 5\r\nX-Kept: 2\r\n"
-            + "X-Otterpond-Time-Remaining: 2500\r\n",
+        "Connection: X-Mine\r\nX-Mine: 1\r\nKeep-Alive: 5\r\nX-Kept: 2"
+            + "\r\nX-Otterpond-Time-Remaining: 2500\r\n",
         "");
     String r = worker.requests.get(0);
     assertTrue(r.startsWith("GET /p/x?q=1&r=%20 HTTP/1.1\r\n"), r);
@@ -230,15 +231,18 @@
   @ValueSource(
       strings = {
         "HTTP/1.1 200 OK\r\nX-Otterpond-Server-Seal: s\r\nContent-Length: 50\r\n\r\nshort\u0000",
-        "HTTP/1.1 200 OK\r\nX-Otterpond-Server-Seal: s\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhel\u0000",
+        "HTTP/1.1 200 OK\r\nX-Otterpond-Server-Seal: s"
+            + "\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhel\u0000",
         "rubbish that is no answer\r\n\r\n\u0000",
         "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok",
         "HTTP/1.1 200 OK\r\nX-Otterpond-Server-Seal: s\r\nContent-Length: 2\r\n\r\nok",
-        "HTTP/1.1 503 Busy\r\nX-Otterpond-Attempt-Id: other\r\nX-Otterpond-Not-Executed: 1\r\nContent-Length: 0\r\n\r\n",
-        "HTTP/1.1 200 OK\r\nX-Otterpond-Attempt-Id: other\r\nX-Otterpond-Server-Seal: s\r\nContent-Length: 2\r\n\r\nok",
+        "HTTP/1.1 503 Busy\r\nX-Otterpond-Attempt-Id: other"
+            + "\r\nX-Otterpond-Not-Executed: 1\r\nContent-Length: 0\r\n\r\n",
+        "HTTP/1.1 200 OK\r\nX-Otterpond-Attempt-Id: other"
+            + "\r\nX-Otterpond-Server-Seal: s\r\nContent-Length: 2\r\n\r\nok",
         "\u0000"
       })
-  void brokenAnswersNeverLookWhole(String answer) throws IOException {
+  void brokenResponsesAreAnsweredWithBadGateway(String answer) throws IOException {
     worker.script = r -> answer;
     assertEquals(502, status(ask("GET /p/x")));
     assertEquals(502, status(ask("POST /o/x", "Content-Length: 1\r\n", "b")));
@@ -250,7 +254,7 @@
 
   /** As when a worker stuttered: the answer to an older request comes in the place of the next. */
   @Test
-  void lateAnswerIsGivenToNobodyAndItsConnectionIsNotUsedAgain() throws IOException {
+  void lateResponseIsDroppedAndItsConnectionIsNotReused() throws IOException {
     String[] late = {null};
     worker.script =
         r -> {
@@ -268,7 +272,7 @@
   }
 
   @Test
-  void requestThatMayRunOnceDoesNotTrustAnIdleConnection() throws Exception {
+  void nonIdempotentRequestDoesNotReuseAnIdleConnection() throws Exception {
     worker.forgetsAfterNanos = 100_000_000;
     try {
       for (int i = 0; i < 3; i++) {
@@ -281,7 +285,7 @@
   }
 
   @Test
-  void keysOfTenants() throws IOException {
+  void accessKeysIdentifyTenants() throws IOException {
     assertEquals(401, status(ask("GET /s/x")));
     assertEquals(401, status(ask("GET /s/x", "Authorization: Bearer nobody\r\n", "")));
     assertEquals(401, status(ask("GET /s/x", "Authorization: Basic key-a\r\n", "")));
@@ -299,7 +303,7 @@
               c.send(
                       head(
                           "GET /s/x",
-                          "Authorization: bearer key-a\r\n" + "X-Otterpond-Tenant-Id: other\r\n"))
+                          "Authorization: bearer key-a\r\nX-Otterpond-Tenant-Id: other\r\n"))
                   .answer()));
     }
     String seen = worker.requests.get(0);
@@ -311,7 +315,7 @@
   }
 
   @Test
-  void operationKeyIsItsTenants() throws IOException {
+  void operationKeyIsScopedToItsTenant() throws IOException {
     worker.script = r -> ScriptedWorker.ok(r, "run " + worker.requests.size());
     String key = "X-Otterpond-Operation-Key: same\r\nContent-Length: 1\r\nAuthorization: Bearer ";
     assertEquals("run 1", body(ask("POST /sk/x", key + "key-a\r\n", "b")));
@@ -320,7 +324,7 @@
   }
 
   @Test
-  void quotaIsKeptAndWhatIsBeyondItIsToldWhenToComeBack() throws IOException {
+  void requestsBeyondTheQuotaAreRejectedWithRetryAfter() throws IOException {
     long began = System.nanoTime();
     int over = 0;
     for (int i = 0; i < 40 && over < 3; i++) {
@@ -338,7 +342,7 @@
   }
 
   @Test
-  void bytesBehindAnAnswerBelongToNobody() throws IOException {
+  void bytesAfterTheResponseAreDropped() throws IOException {
     worker.script =
         r ->
             ScriptedWorker.ok(r, "first")
@@ -349,7 +353,7 @@
   }
 
   @Test
-  void onlyADisownedRequestIsPromisedNotToHaveRun() throws IOException {
+  void onlyRejectedRequestIsReportedAsNotExecuted() throws IOException {
     worker.script = ScriptedWorker::full;
     String a = ask("POST /o/x", "Content-Length: 1\r\n", "b");
     assertEquals(503, status(a));
@@ -359,7 +363,7 @@
   }
 
   @Test
-  void repeatOfAKeyGetsTheFirstAnswer() throws IOException {
+  void repeatedOperationKeyGetsTheFirstResponse() throws IOException {
     worker.script = r -> ScriptedWorker.ok(r, "run " + worker.requests.size());
     String first =
         ask("POST /k/x", "X-Otterpond-Operation-Key: key-1\r\nContent-Length: 1\r\n", "b");
@@ -378,7 +382,7 @@
   }
 
   @Test
-  void unknownOutcomeIsNeverRunAgain() throws IOException {
+  void requestWithUnknownOutcomeIsNotRepeated() throws IOException {
     String headers = "X-Otterpond-Operation-Key: key-2\r\nContent-Length: 1\r\n";
     worker.script = r -> ScriptedWorker.HANG_UP;
     assertEquals(502, status(ask("POST /k/x", headers, "b")));
@@ -389,7 +393,7 @@
   }
 
   @Test
-  void disownedKeyIsFreeForTheNextTry() throws IOException {
+  void keyOfRejectedRequestIsReleasedForTheNextAttempt() throws IOException {
     String headers = "X-Otterpond-Operation-Key: key-3\r\nContent-Length: 1\r\n";
     worker.script = ScriptedWorker::full;
     assertEquals(503, status(ask("POST /k/x", headers, "b")));
@@ -402,7 +406,7 @@
   }
 
   @Test
-  void keyInWorkIsNotRunBesideItself() throws Exception {
+  void requestWithLockedKeyIsNotExecutedConcurrently() throws Exception {
     CountDownLatch release = new CountDownLatch(1);
     worker.script =
         r -> {
@@ -414,7 +418,8 @@
           return ScriptedWorker.ok(r, "slow");
         };
     String headers =
-        "X-Otterpond-Operation-Key: key-4\r\nX-Otterpond-Time-Remaining: 2000\r\nContent-Length: 1\r\n";
+        "X-Otterpond-Operation-Key: key-4\r\nX-Otterpond-Time-Remaining: 2000"
+            + "\r\nContent-Length: 1\r\n";
     try (RawClient one = new RawClient(front);
         RawClient two = new RawClient(front)) {
       one.send(head("POST /k/x", headers) + "b");
@@ -453,7 +458,8 @@
     try (RawClient c = new RawClient(control)) {
       String a =
           c.send(
-                  "POST /-/Configuration.Replace HTTP/1.1\r\nHost: c\r\nX-Otterpond-Base-Revision: 1\r\n"
+                  "POST /-/Configuration.Replace HTTP/1.1\r\nHost: c\r\n"
+                      + "X-Otterpond-Base-Revision: 1\r\n"
                       + "Content-Length: "
                       + config.length()
                       + "\r\n\r\n"
--- a/src/test/java/org/otterpond/server/GracefulShutdownTest.java
+++ b/src/test/java/org/otterpond/server/GracefulShutdownTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A node that is told to end: whatever it has read gets a whole answer. */
+/** Graceful shutdown of a gateway node: every request that it has read gets a whole response. */
 class GracefulShutdownTest {
   private static String get(String path, String id) {
     return "GET "
@@ -29,11 +29,9 @@
   }
 
   @Test
-  void whatIsInHandAtTheEndIsAnsweredAndWhatComesLateIsSentElsewhere(@TempDir Path folder)
-      throws Exception {
+  void openRequestsAreAnsweredAndLateRequestsAreRejected(@TempDir Path folder) throws Exception {
     CountDownLatch ended = new CountDownLatch(1);
     LoopbackNode node = new LoopbackNode(folder, "\"grace_s\":3.5", ended::countDown);
-    int front = node.front;
     ScriptedWorker worker = new ScriptedWorker();
     CountDownLatch never = new CountDownLatch(1);
     CountDownLatch reached = new CountDownLatch(2);
@@ -56,9 +54,10 @@
             + route("k", "/k/", "keyed")
             + "],\"service_table\":[{\"name\":\"s\"}]}");
     node.beat(worker.port());
+    int front = node.front;
     LoopbackNode.untilAnswered(front, get("/k/first", "a0"));
-    CompletableFuture<String> once = later(front, get("/k/stuck", "a1"));
-    CompletableFuture<String> often = later(front, get("/i/stuck", "a2"));
+    final CompletableFuture<String> once = later(front, get("/k/stuck", "a1"));
+    final CompletableFuture<String> often = later(front, get("/i/stuck", "a2"));
     assertTrue(reached.await(5, TimeUnit.SECONDS));
 
     node.server.leave();
--- a/src/test/java/org/otterpond/server/LoopbackNode.java
+++ b/src/test/java/org/otterpond/server/LoopbackNode.java
@@ -7,10 +7,7 @@
 import java.util.concurrent.TimeUnit;
 import org.otterpond.config.NodeSettings;
 
-/**
- * One node over real sockets, on ports that are free, with the calls that every test of it begins
- * with.
- */
+/** A node over real sockets on free ports, and the control API calls that tests begin with. */
 final class LoopbackNode {
   final int front = freePort();
   final int control = freePort();
@@ -18,6 +15,8 @@
   private final int internal = freePort();
 
   /**
+   * Starts a gateway node with a core disk.
+   *
    * @param bounds fields of the settings' bounds, as JSON without braces
    */
   LoopbackNode(Path folder, String bounds, Runnable end) throws Exception {
@@ -44,22 +43,22 @@
   }
 
   static NodeServer run(Path file, Runnable end) throws Exception {
-    NodeServer k = new NodeServer(file, NodeSettings.load(file), end);
+    NodeServer server = new NodeServer(file, NodeSettings.load(file), end);
     Thread t =
         new Thread(
             () -> {
               try {
-                k.run();
+                server.run();
               } catch (Exception e) {
                 throw new IllegalStateException(e);
               }
             });
     t.setDaemon(true);
     t.start();
-    return k;
+    return server;
   }
 
-  /** A machine that stores messages, at another address of the loopback. */
+  /** Starts a storage node at another loopback address. */
   NodeServer store(Path folder, String ip, String bounds, Runnable end) throws Exception {
     Path file = folder.resolve("store-" + ip + ".json");
     Files.writeString(
@@ -69,7 +68,8 @@
             + "\",\"ip\":\""
             + ip
             + "\",\"zone\":\"z\",\"serves\":"
-            + "[\"storage\"],\"deployment\":\"queue\",\"listen_points\":{},\"internal_port_range\":["
+            + "[\"storage\"],\"deployment\":\"queue\",\"listen_points\":{},"
+            + "\"internal_port_range\":["
             + internal
             + ","
             + internal
--- a/src/test/java/org/otterpond/server/MessageLoopbackTest.java
+++ b/src/test/java/org/otterpond/server/MessageLoopbackTest.java
@@ -34,12 +34,13 @@
             + route("free", "/m/", false)
             + ","
             + route("line", "/l/", true)
-            + "],\"subscribers\":[{\"name\":\"acme\",\"access_keys\":[\"key-a\"]},{\"name\":\"bolt\",\"access_keys\":"
-            + "[\"key-b\"]}],\"service_table\":[{\"name\":\"s\"}]}");
+            + "],\"subscribers\":[{\"name\":\"acme\",\"access_keys\":[\"key-a\"]},{\"name\":\"bolt\","
+            + "\"access_keys\":[\"key-b\"]}],\"service_table\":[{\"name\":\"s\"}]}");
     node.beat(worker.port());
-    String last = "";
-    for (int i = 0; i < 200 && status(last = hand("/m/up", "", "warm")) != 202; i++) {
+    String last = hand("/m/up", "", "warm");
+    for (int i = 1; i < 200 && status(last) != 202; i++) {
       TimeUnit.MILLISECONDS.sleep(50);
+      last = hand("/m/up", "", "warm");
     }
     assertEquals(202, status(last), last);
   }
@@ -54,7 +55,8 @@
         + name
         + "\",\"host_name\":\"h.example\",\"path_prefix\":\""
         + prefix
-        + "\",\"route_type\":\"asynchronous\",\"guard_timer_ms\":2000,\"target_latency_ms\":100,\"target_service\":\"s\","
+        + "\",\"route_type\":\"asynchronous\",\"guard_timer_ms\":2000,"
+        + "\"target_latency_ms\":100,\"target_service\":\"s\","
         + "\"max_attempts\":2,\"retention_s\":30,\"ordered_delivery\":"
         + ordered
         + "}";
@@ -94,16 +96,17 @@
   }
 
   private static String stateWhen(String id, String wanted) throws Exception {
-    String last = "";
-    for (int i = 0; i < 100 && !(last = state(id)).contains(wanted); i++) {
+    String last = state(id);
+    for (int i = 1; i < 100 && !last.contains(wanted); i++) {
       TimeUnit.MILLISECONDS.sleep(30);
+      last = state(id);
     }
     assertTrue(last.contains(wanted), last);
     return last;
   }
 
   @Test
-  void isDeliveredAsItCameAndItsStateHasTheStamp() throws Exception {
+  void messageIsDeliveredUnchangedAndItsStateHasTheSeal() throws Exception {
     String id =
         idOf(hand("/m/x?y=1", "X-Extra: kept\r\nX-Otterpond-Tenant-Id: somebody\r\n", "bytes"));
     assertTrue(stateWhen(id, "completed").contains("\"timestamp\":\"seal\""));
@@ -120,7 +123,7 @@
   }
 
   @Test
-  void repeatGetsTheFirstOnesNameAndRunsOnce() throws Exception {
+  void repeatedRequestGetsTheFirstIdAndIsDeliveredOnce() throws Exception {
     String first = idOf(hand("/m/once", "X-Otterpond-Operation-Key: op1\r\n", "a"));
     stateWhen(first, "completed");
     assertEquals(first, idOf(hand("/m/once", "X-Otterpond-Operation-Key: op1\r\n", "a")));
@@ -128,7 +131,7 @@
   }
 
   @Test
-  void failsItsAttemptsAndIsDeadWithItsBytes() throws Exception {
+  void messageIsDeadLetteredUnchangedAfterItsLastFailedAttempt() throws Exception {
     worker.script =
         r ->
             "HTTP/1.1 500 No\r\nX-Otterpond-Attempt-Id: "
@@ -142,7 +145,7 @@
   }
 
   @Test
-  void refusedForGoodIsDeadAfterOne() throws Exception {
+  void permanentlyRejectedMessageIsDeadLetteredAfterOneAttempt() throws Exception {
     worker.script =
         r ->
             "HTTP/1.1 422 Never\r\nX-Otterpond-Attempt-Id: "
@@ -154,23 +157,25 @@
   }
 
   @Test
-  void turnedAwayAndBrokenOffAreTriedAgainAndDoNotCount() throws Exception {
+  void rejectedAndInterruptedDeliveriesAreRetriedWithoutCountingAsAttempts() throws Exception {
     int[] n = {0};
     worker.script =
-        r ->
-            !r.startsWith("POST /m/again")
-                ? ScriptedWorker.ok(r, "")
-                : switch (n[0]++) {
-                  case 0, 1, 2 -> ScriptedWorker.full(r);
-                  case 3 -> "HTTP/1.1 200 OK\r\n" + ScriptedWorker.HANG_UP;
-                  default -> ScriptedWorker.ok(r, "");
-                };
+        request -> {
+          if (!request.startsWith("POST /m/again")) {
+            return ScriptedWorker.ok(request, "");
+          }
+          return switch (n[0]++) {
+            case 0, 1, 2 -> ScriptedWorker.full(request);
+            case 3 -> "HTTP/1.1 200 OK\r\n" + ScriptedWorker.HANG_UP;
+            default -> ScriptedWorker.ok(request, "");
+          };
+        };
     stateWhen(idOf(hand("/m/again", "", "x")), "completed");
     assertEquals(5, worker.requests.stream().filter(r -> r.startsWith("POST /m/again ")).count());
   }
 
   @Test
-  void ordersOfOneKeyWaitForEachOther() throws Exception {
+  void messagesOfOneOrderingKeyAreDeliveredInOrder() throws Exception {
     int[] n = {0};
     // The first fails once; the second must not pass it.
     worker.script =
@@ -191,7 +196,7 @@
   }
 
   @Test
-  void delayedOneIsQueuedUntilThen() throws Exception {
+  void delayedMessageIsQueuedUntilItsTime() throws Exception {
     long from = System.nanoTime();
     String id = idOf(hand("/m/later", "X-Otterpond-Not-Before: 700\r\n", "x"));
     assertTrue(state(id).contains("queued"));
@@ -206,14 +211,14 @@
     "/l/x,X-Plain: no order",
     "/m/x,X-Otterpond-Time-Remaining: long"
   })
-  void malformedIsToldAndStoresNothing(String path, String header) throws Exception {
+  void malformedRequestIsRejectedAndNotStored(String path, String header) throws Exception {
     String answer = hand(path, header + "\r\n", "x");
     assertEquals(400, status(answer), answer);
     assertTrue(answer.contains("\"cause\""), answer);
   }
 
   @Test
-  void onlyItsOwnTenantLearnsOfIt() throws Exception {
+  void messageStateIsVisibleToItsTenantOnly() throws Exception {
     String id = idOf(hand("/m/mine", "", "x"));
     assertEquals(404, status(call("GET /-/message/" + id, "Authorization: Bearer key-b\r\n", "")));
     assertEquals(401, status(call("GET /-/message/" + id, "", "")));
@@ -223,12 +228,12 @@
 
   @ParameterizedTest
   @ValueSource(strings = {"0.none", "nothing", "99999.a.b", "-1.a.b", "x.y", "0"})
-  void unknownNamesAreNotFound(String id) throws Exception {
+  void unknownIdsAreNotFound(String id) throws Exception {
     assertEquals(404, status(state(id)));
   }
 
   @Test
-  void operatorsCommandsAskAndRetire() throws Exception {
+  void commandLineReadsStatesAndRetiresNodes() throws Exception {
     String id = idOf(hand("/m/cli", "", "x"));
     stateWhen(id, "completed");
     assertEquals(
--- a/src/test/java/org/otterpond/server/MisdirectedResponseTest.java
+++ b/src/test/java/org/otterpond/server/MisdirectedResponseTest.java
@@ -8,6 +8,7 @@
 
 import com.google.gson.JsonParser;
 import java.io.IOException;
+import java.net.InetAddress;
 import java.net.ServerSocket;
 import java.net.Socket;
 import java.nio.charset.StandardCharsets;
@@ -108,7 +109,7 @@
 
   @BeforeEach
   void plainScript() {
-    worker.script = r -> ScriptedWorker.ok(r, r.split(" ")[1]);
+    worker.script = r -> ScriptedWorker.ok(r, ScriptedWorker.target(r));
     worker.requests.clear();
   }
 
@@ -157,14 +158,14 @@
   // ------------------------------------------------------- the wrong caller
 
   @Test
-  void answerAfterTheTimeOutIsForNobodyAlsoOnAPipelinedConnection() throws Exception {
+  void responseAfterTheTimeoutIsDroppedAlsoOnPipelinedConnection() throws Exception {
     CountDownLatch late = new CountDownLatch(1);
     worker.script =
         r -> {
           if (r.contains("/slow")) {
             await(late);
           }
-          return ScriptedWorker.ok(r, r.split(" ")[1]);
+          return ScriptedWorker.ok(r, ScriptedWorker.target(r));
         };
     try (RawClient c = new RawClient(front)) {
       c.send(
@@ -183,7 +184,7 @@
 
   @ParameterizedTest
   @ValueSource(ints = {204, 304})
-  void answerWithoutABodySaysNoLengthThatTheNextAnswerWouldFill(int status) throws IOException {
+  void responseWithoutBodyHasNoLengthThatTheNextResponseWouldFill(int status) throws IOException {
     worker.script =
         r ->
             r.contains("/bare")
@@ -204,7 +205,7 @@
   }
 
   @Test
-  void clientCannotDeclareAwayWhatNamesItsRequest() throws IOException {
+  void clientCannotRemoveIdentifyingHeadersWithConnection() throws IOException {
     assertEquals(
         200,
         status(
@@ -219,8 +220,8 @@
   }
 
   @Test
-  void halfClosedClientIsAnsweredAndACutRequestIsNone() throws Exception {
-    try (Socket s = new Socket("127.0.0.1", front)) {
+  void halfClosedClientIsAnsweredAndTruncatedRequestIsDropped() throws Exception {
+    try (Socket s = new Socket(InetAddress.getLoopbackAddress(), front)) {
       s.setSoTimeout(5_000);
       s.getOutputStream().write(head("GET /p/half", "").getBytes(StandardCharsets.ISO_8859_1));
       s.shutdownOutput();
@@ -232,7 +233,7 @@
         List.of(
             "Content-Length: 5\r\n\r\nhel",
             "Transfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n0\r\n")) {
-      try (Socket s = new Socket("127.0.0.1", front)) {
+      try (Socket s = new Socket(InetAddress.getLoopbackAddress(), front)) {
         s.getOutputStream()
             .write(
                 head("POST /o/cut", rest).getBytes(StandardCharsets.ISO_8859_1),
@@ -250,7 +251,7 @@
 
   @ParameterizedTest
   @ValueSource(ints = {503, 429, 408})
-  void repeatOfARunIsNotPromisedThatItHasNotRun(int status) throws IOException {
+  void repeatOfExecutedRequestIsNotReportedAsNotExecuted(int status) throws IOException {
     worker.script =
         r ->
             "HTTP/1.1 "
@@ -266,7 +267,7 @@
   }
 
   @Test
-  void keyOfARequestThatTimedOutIsNotRunAgain() throws IOException {
+  void keyOfTimedOutRequestIsNotExecutedAgain() throws IOException {
     worker.script = r -> "";
     assertEquals(504, status(keyed("/k/x", "silent", 300)));
     worker.script = r -> ScriptedWorker.ok(r, "a second run");
@@ -275,7 +276,7 @@
   }
 
   @Test
-  void refusedConnectionIsAPromise() throws IOException {
+  void refusedConnectionIsReportedAsNotExecuted() throws IOException {
     assertEquals(503, status(ask("POST /closed/x", "Content-Length: 1\r\n", "b")));
   }
 
@@ -284,7 +285,7 @@
    * given up and freed.
    */
   @Test
-  void claimGrantedAfterItWasGivenUpHoldsNobodyUp() throws Exception {
+  void keyLockGrantedAfterItsTimeoutIsReleased() throws Exception {
     CountDownLatch answer = new CountDownLatch(1);
     worker.script =
         r -> {
@@ -326,7 +327,7 @@
    * time it was given.
    */
   @Test
-  void silentWorkerIsGivenUpAtTheDeadlineAlsoWhenAnotherAnswered() throws Exception {
+  void silentWorkerTimesOutAtTheDeadlineAlsoWhenAnotherResponded() throws Exception {
     for (int i = 0; i < 40; i++) {
       assertEquals(200, status(ask("GET /pair/earns", "", "")));
     }
--- a/src/test/java/org/otterpond/server/RawClient.java
+++ b/src/test/java/org/otterpond/server/RawClient.java
@@ -3,16 +3,17 @@
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
 import java.io.InputStream;
+import java.net.InetAddress;
 import java.net.Socket;
 import java.net.SocketTimeoutException;
 import java.nio.charset.StandardCharsets;
 
-/** A client that sends just the bytes it is told to. */
+/** A client that sends exactly the given bytes. */
 final class RawClient implements AutoCloseable {
   private final Socket socket;
 
   RawClient(int port) throws IOException {
-    socket = new Socket("127.0.0.1", port);
+    socket = new Socket(InetAddress.getLoopbackAddress(), port);
     socket.setSoTimeout(8_000);
   }
 
--- a/src/test/java/org/otterpond/server/ScriptedWorker.java
+++ b/src/test/java/org/otterpond/server/ScriptedWorker.java
@@ -13,10 +13,7 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.function.Function;
 
-/**
- * A worker whose every byte the test decides: it is given the request's text and gives the
- * answer's.
- */
+/** A worker whose responses are written by a script of the test, from the text of a request. */
 final class ScriptedWorker implements AutoCloseable {
   /** Ends the connection after what comes before it. */
   static final String HANG_UP = "\u0000";
@@ -28,13 +25,13 @@
 
   final List<String> requests = new CopyOnWriteArrayList<>();
 
-  /** A connection idle for longer is ended at the next request, which nobody reads. */
+  /** A connection that was idle for longer is closed at the next request, which is not read. */
   volatile long forgetsAfterNanos = Long.MAX_VALUE;
 
   volatile Function<String, String> script = r -> ok(r, "hello");
 
   ScriptedWorker() throws IOException {
-    server = new ServerSocket(0, 50, InetAddress.getByName("127.0.0.1"));
+    server = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
     daemon(
         () -> {
           while (!server.isClosed()) {
@@ -58,8 +55,13 @@
     return server.getLocalPort();
   }
 
+  /** Returns the target of a request, from its first line. */
+  static String target(String request) {
+    return request.split(" ", 3)[1];
+  }
+
   static String header(String request, String name) {
-    for (String line : request.split("\r\n")) {
+    for (String line : request.split("\r\n", -1)) {
       if (line.regionMatches(true, 0, name + ":", 0, name.length() + 1)) {
         return line.substring(name.length() + 1).trim();
       }
@@ -76,7 +78,7 @@
         + body;
   }
 
-  /** The answer of a worker that has no room. */
+  /** Returns the response of a worker at its capacity. */
   static String full(String request) {
     return "HTTP/1.1 503 Busy\r\nX-Otterpond-Attempt-Id: "
         + header(request, "X-Otterpond-Attempt-Id")
@@ -103,7 +105,7 @@
         }
       }
     } catch (IOException e) {
-      // The node hung up.
+      // The node closed the connection.
     } finally {
       open.decrementAndGet();
     }
