--- a/src/main/java/org/otterpond/control/state/package-info.java
+++ b/src/main/java/org/otterpond/control/state/package-info.java
@@ -7,9 +7,7 @@
  * org.otterpond.control.state.CoreMember} are immutable and name an epoch's primary, backups and
  * members; {@link org.otterpond.control.state.FaultTolerance} chooses them.
  *
- * <p>Mutable types are confined to the owner thread of the node. {@link
- * org.otterpond.control.configuration.ConfigurationUpdateParser} may run on another thread, as it
- * touches only what it was given.
+ * <p>Mutable types are confined to the owner thread of the node.
  *
  * <p>May depend on {@code protocol} and {@code config}.
  */
