--- a/src/main/java/org/otterpond/server/RetirementResource.java
+++ b/src/main/java/org/otterpond/server/RetirementResource.java
@@ -33,10 +33,10 @@
         new RetireNodeRequest(node),
         PrimaryCaller.Timing.STANDARD,
         RetireNodeReply::of,
-        reply -> exchange.answer(response(reply)));
+        reply -> exchange.answer(beginResponse(reply)));
   }
 
-  private static HttpMessage response(RetireNodeReply reply) {
+  private static HttpMessage beginResponse(RetireNodeReply reply) {
     return switch (reply.status()) {
       case RetireNodeReply.ACCEPTED -> GatewayResponses.json(200, "{}");
       case RetireNodeReply.UNKNOWN_NODE -> GatewayResponses.problem(404, "no such storage machine");
@@ -51,10 +51,10 @@
         new RetirementStatusRequest(node),
         PrimaryCaller.Timing.STANDARD,
         RetirementStatusReply::of,
-        reply -> exchange.answer(response(reply)));
+        reply -> exchange.answer(statusResponse(reply)));
   }
 
-  private static HttpMessage response(RetirementStatusReply reply) {
+  private static HttpMessage statusResponse(RetirementStatusReply reply) {
     if (!reply.known()) {
       return GatewayResponses.problem(404, "no such retirement");
     }
--- a/src/test/java/org/otterpond/server/MessageLoopbackTest.java
+++ b/src/test/java/org/otterpond/server/MessageLoopbackTest.java
@@ -34,7 +34,8 @@
             + route("free", "/m/", false)
             + ","
             + route("line", "/l/", true)
-            + "],\"subscribers\":[{\"name\":\"acme\",\"access_keys\":[\"key-a\"]},{\"name\":\"bolt\","
+            + "],\"subscribers\":[{\"name\":\"acme\",\"access_keys\":[\"key-a\"]},"
+            + "{\"name\":\"bolt\","
             + "\"access_keys\":[\"key-b\"]}],\"service_table\":[{\"name\":\"s\"}]}");
     node.beat(worker.port());
     String last = hand("/m/up", "", "warm");
