--- a/src/test/java/org/otterpond/architecture/DocumentationTest.java
+++ b/src/test/java/org/otterpond/architecture/DocumentationTest.java
@@ -27,7 +27,8 @@
     while (matcher.find()) {
       found++;
       String source = "java/org/otterpond/" + matcher.group(1).replace('.', '/') + ".java";
-      if (!Files.exists(Path.of("src/main", source)) && !Files.exists(Path.of("src/test", source))) {
+      if (!Files.exists(Path.of("src/main", source))
+          && !Files.exists(Path.of("src/test", source))) {
         unknown.add(matcher.group(1));
       }
     }
