--- a/src/main/java/org/otterpond/control/epoch/BackupRole.java
+++ b/src/main/java/org/otterpond/control/epoch/BackupRole.java
@@ -149,7 +149,7 @@
   void onResignNotice(ResignNotice notice) {
     EpochRecord record = votes.acceptedRecord();
     if (transitions.isPrimary()
-        || votes.acceptedRecord() == null
+        || record == null
         || record.epoch() != notice.epoch()
         || !isInKnownGroup()
         || log.isFailed()) {
--- a/src/main/java/org/otterpond/control/message/WorkerReport.java
+++ b/src/main/java/org/otterpond/control/message/WorkerReport.java
@@ -4,7 +4,6 @@
 import java.util.Collection;
 import java.util.List;
 import org.otterpond.control.state.WorkerInstance;
-import org.otterpond.control.state.WorkerState;
 import org.otterpond.protocol.Encodable;
 import org.otterpond.protocol.ProtocolException;
 import org.otterpond.protocol.WireRecord;
@@ -17,14 +16,10 @@
  */
 public final class WorkerReport implements Encodable {
   /** The encoded kind. */
-  public static final String KIND = "vessel";
+  public static final String KIND = WorkerInstance.KIND;
 
-  private static final String ID = "id";
-  private static final String SERVICE = "service";
-  private static final String ADDRESS = "addr";
   private static final String ZONE = "zone";
   private static final String REVISION = "rev";
-  private static final String STATE = "state";
 
   /** The worker, with the end of its slow start relative to the moment of encoding. */
   private final WorkerInstance relative;
@@ -40,7 +35,7 @@
    */
   public static WorkerReport of(WorkerInstance worker, long nowMicros) {
     return new WorkerReport(
-        withSlowStart(worker, Math.max(0, worker.slowStartEndMicros() - nowMicros)));
+        worker.withSlowStartEnd(Math.max(0, worker.slowStartEndMicros() - nowMicros)));
   }
 
   /** Returns the reports of several workers at the same time. */
@@ -54,31 +49,9 @@
    * @throws ProtocolException if a required field is missing or the state is unknown
    */
   public static WorkerReport of(WireRecord encoded) throws ProtocolException {
-    encoded.requiredText(ID);
-    encoded.requiredText(SERVICE);
-    encoded.requiredText(ADDRESS);
     MessageFields.optionalText(encoded, ZONE);
     MessageFields.optionalText(encoded, REVISION);
-    String state = encoded.requiredText(STATE);
-    for (WorkerState known : WorkerState.values()) {
-      if (known.name().equals(state)) {
-        return new WorkerReport(WorkerInstance.of(encoded, 0));
-      }
-    }
-    throw new ProtocolException("kind " + encoded.kind() + " has an unknown state: " + state);
-  }
-
-  private static WorkerInstance withSlowStart(WorkerInstance worker, long untilMicros) {
-    return new WorkerInstance(
-        worker.id(),
-        worker.service(),
-        worker.address(),
-        worker.zone(),
-        worker.revision(),
-        worker.slots(),
-        worker.state(),
-        worker.sequence(),
-        untilMicros);
+    return new WorkerReport(WorkerInstance.decode(encoded, 0));
   }
 
   static List<WorkerReport> listOf(WireRecord message, String field) throws ProtocolException {
@@ -99,7 +72,7 @@
    * @param nowMicros the reader's monotonic time
    */
   public WorkerInstance worker(long nowMicros) {
-    return withSlowStart(relative, nowMicros + relative.slowStartEndMicros());
+    return relative.withSlowStartEnd(nowMicros + relative.slowStartEndMicros());
   }
 
   @Override
--- a/src/main/java/org/otterpond/control/primary/ConfigurationChanges.java
+++ b/src/main/java/org/otterpond/control/primary/ConfigurationChanges.java
@@ -29,7 +29,7 @@
 final class ConfigurationChanges {
   private final NodeRuntime runtime;
   private final EpochReplica replica;
-  private final LeadershipProof proof;
+  private final LeadershipConfirmation proof;
   private final Listener listener;
   private final ConfigurationChangeLog log = new ConfigurationChangeLog();
 
@@ -63,7 +63,7 @@
   }
 
   ConfigurationChanges(
-      NodeRuntime runtime, EpochReplica replica, LeadershipProof proof, Listener listener) {
+      NodeRuntime runtime, EpochReplica replica, LeadershipConfirmation proof, Listener listener) {
     this.runtime = runtime;
     this.replica = replica;
     this.proof = proof;
--- a/src/main/java/org/otterpond/control/primary/GroupReconfiguration.java
+++ b/src/main/java/org/otterpond/control/primary/GroupReconfiguration.java
@@ -19,7 +19,7 @@
 
   private final NodeRuntime runtime;
   private final AssignmentState state;
-  private final LeadershipProof proof;
+  private final LeadershipConfirmation proof;
   private final AvoidedMembers avoided;
   private final Runnable onProposal;
 
@@ -32,7 +32,7 @@
   GroupReconfiguration(
       NodeRuntime runtime,
       AssignmentState state,
-      LeadershipProof proof,
+      LeadershipConfirmation proof,
       AvoidedMembers avoided,
       Runnable onProposal) {
     this.runtime = runtime;
--- a/src/main/java/org/otterpond/control/primary/IdempotencyKeyLocks.java
+++ b/src/main/java/org/otterpond/control/primary/IdempotencyKeyLocks.java
@@ -24,14 +24,17 @@
 final class IdempotencyKeyLocks {
   private final ReplicatedState state;
   private final StateWriter writer;
-  private final LeadershipProof proof;
+  private final LeadershipConfirmation proof;
   private final QuotaLending quotas;
 
   /** The replies that await the commit of a lock, by the attempt's token. */
   private final Map<String, List<Consumer<PrimaryReply>>> pendingReplies = new HashMap<>();
 
   IdempotencyKeyLocks(
-      ReplicatedState state, StateWriter writer, LeadershipProof proof, QuotaLending quotas) {
+      ReplicatedState state,
+      StateWriter writer,
+      LeadershipConfirmation proof,
+      QuotaLending quotas) {
     this.state = state;
     this.writer = writer;
     this.proof = proof;
--- a/src/main/java/org/otterpond/control/primary/LeadershipProof.java
+++ b/src/main/java/org/otterpond/control/primary/LeadershipConfirmation.java
@@ -9,7 +9,7 @@
  * answer from outdated state.
  */
 @FunctionalInterface
-interface LeadershipProof {
+interface LeadershipConfirmation {
   /**
    * Asks for a proof.
    *
--- a/src/main/java/org/otterpond/control/primary/NodeRetirement.java
+++ b/src/main/java/org/otterpond/control/primary/NodeRetirement.java
@@ -21,7 +21,7 @@
 
   private final NodeRuntime runtime;
   private final AssignmentState state;
-  private final LeadershipProof proof;
+  private final LeadershipConfirmation proof;
   private final int replicas;
 
   /**
@@ -29,7 +29,8 @@
    *
    * @param replicas number of replicas of a group, for which enough nodes must be left
    */
-  NodeRetirement(NodeRuntime runtime, AssignmentState state, LeadershipProof proof, int replicas) {
+  NodeRetirement(
+      NodeRuntime runtime, AssignmentState state, LeadershipConfirmation proof, int replicas) {
     this.runtime = runtime;
     this.state = state;
     this.proof = proof;
--- a/src/main/java/org/otterpond/control/primary/PartitionServices.java
+++ b/src/main/java/org/otterpond/control/primary/PartitionServices.java
@@ -24,7 +24,7 @@
       FaultTolerance faults) {
     this.leases = leases;
     AssignmentState state = new ReplicaAssignments(replica, assignments);
-    LeadershipProof proof = replica::confirm;
+    LeadershipConfirmation proof = replica::confirm;
     AvoidedMembers avoided = new AvoidedMembers();
     placement = new ReplicaPlacement(runtime, faults.machines(), faults.zones(), state, avoided);
     retirement = new NodeRetirement(runtime, state, proof, placement.replicas());
--- a/src/main/java/org/otterpond/control/primary/PrimaryServices.java
+++ b/src/main/java/org/otterpond/control/primary/PrimaryServices.java
@@ -68,7 +68,7 @@
       ControlPlaneSettings settings) {
     this.runtime = runtime;
     this.replica = replica;
-    final LeadershipProof proof = replica::confirm;
+    final LeadershipConfirmation proof = replica::confirm;
     final ReplicaAdapter core = new ReplicaAdapter(replica);
     leases = new NodeLeaseTable(runtime);
     assignments = new CommittedAssignments(replica::propose, this::respondSoon);
@@ -121,7 +121,7 @@
         (request, reply) -> reply.accept(new UnknownOperationReply("unknown operation")));
   }
 
-  private void registerStatus(LeadershipProof proof, CoreMember self) {
+  private void registerStatus(LeadershipConfirmation proof, CoreMember self) {
     StatusReport report =
         new StatusReport(
             runtime,
--- a/src/main/java/org/otterpond/control/primary/WorkerReportHandler.java
+++ b/src/main/java/org/otterpond/control/primary/WorkerReportHandler.java
@@ -28,10 +28,10 @@
     StateWriter writer();
 
     /** Proves that this node is the primary, by a message of its own. */
-    LeadershipProof proof();
+    LeadershipConfirmation proof();
 
     /** Proves the same by the next message that is sent anyway. */
-    LeadershipProof laterProof();
+    LeadershipConfirmation laterProof();
 
     /** Informs the nodes soon of changed workers. */
     void workersChanged();
--- a/src/main/java/org/otterpond/control/primary/WorkerServices.java
+++ b/src/main/java/org/otterpond/control/primary/WorkerServices.java
@@ -44,12 +44,12 @@
     }
 
     @Override
-    public LeadershipProof proof() {
+    public LeadershipConfirmation proof() {
       return replica::confirm;
     }
 
     @Override
-    public LeadershipProof laterProof() {
+    public LeadershipConfirmation laterProof() {
       return replica::confirmLater;
     }
 
--- a/src/main/java/org/otterpond/control/state/WorkerEntry.java
+++ b/src/main/java/org/otterpond/control/state/WorkerEntry.java
@@ -19,7 +19,7 @@
   /** Returns the entry for an instance known at {@code nowMicros} of this node's clock. */
   public static WorkerEntry of(WorkerInstance worker, long nowMicros) {
     return new WorkerEntry(
-        worker.withWarmUntil(
+        worker.withSlowStartEnd(
             Math.max(0, worker.slowStartEndMicros() - nowMicros) + WRITTEN_AT_MICROS));
   }
 
--- a/src/main/java/org/otterpond/control/state/WorkerInstance.java
+++ b/src/main/java/org/otterpond/control/state/WorkerInstance.java
@@ -121,7 +121,7 @@
   }
 
   /** Returns this instance with another end of its slow start, in microseconds. */
-  WorkerInstance withWarmUntil(long otherMicros) {
+  public WorkerInstance withSlowStartEnd(long otherMicros) {
     return new WorkerInstance(
         id, service, address, zone, revision, slots, state, sequence, otherMicros);
   }
--- a/src/main/java/org/otterpond/messaging/GroupBeacons.java
+++ b/src/main/java/org/otterpond/messaging/GroupBeacons.java
@@ -11,7 +11,7 @@
 import org.otterpond.messaging.message.GroupBeacon;
 import org.otterpond.messaging.message.GroupBeaconReply;
 import org.otterpond.messaging.message.GroupVersions;
-import org.otterpond.protocol.WireRecord;
+import org.otterpond.replication.ConfigurationMessage;
 import org.otterpond.replication.GroupConfiguration;
 
 /**
@@ -130,12 +130,7 @@
     GroupConfiguration known = replica == null ? null : replica.group().view();
     if (known != null && known.version() > version) {
       host.runtime()
-          .send(
-              address,
-              new WireRecord("g.view")
-                  .with("to", member)
-                  .with("group", replica.id())
-                  .with("view", known.toWireRecord("view")));
+          .send(address, new ConfigurationMessage(replica.id(), known).toBeaconAnswer(member));
     }
   }
 
--- a/src/main/java/org/otterpond/net/ClientConnection.java
+++ b/src/main/java/org/otterpond/net/ClientConnection.java
@@ -81,10 +81,6 @@
       return;
     }
     socket.pauseReading();
-    if (exchange != null) {
-      // Only the input has ended, but most clients that end it are gone.
-      exchange.clientGone();
-    }
   }
 
   @Override
@@ -240,24 +236,17 @@
   }
 
   /** Resets the connection, so that a response cut off is not taken for a complete one. */
-  void reset() {
+  private void reset() {
     if (!socket.isClosed()) {
       socket.reset();
-      handleClosed();
+      listener.remove(this);
     }
   }
 
   void close() {
     if (!socket.isClosed()) {
       socket.close();
-      handleClosed();
-    }
-  }
-
-  private void handleClosed() {
-    listener.remove(this);
-    if (exchange != null) {
-      exchange.clientGone();
+      listener.remove(this);
     }
   }
 }
--- a/src/main/java/org/otterpond/net/RequestHandler.java
+++ b/src/main/java/org/otterpond/net/RequestHandler.java
@@ -4,7 +4,7 @@
 
 /** Serves the requests of one listening address, on the owner thread. */
 public interface RequestHandler {
-  /** Serves a request; it has to be responded to or aborted, now or later. */
+  /** Serves a request; it has to be responded to, now or later. */
   void handle(ServerExchange exchange);
 
   /** Returns the limits for clients as they are now. */
--- a/src/main/java/org/otterpond/net/ServerExchange.java
+++ b/src/main/java/org/otterpond/net/ServerExchange.java
@@ -6,7 +6,6 @@
   private final long receivedAtMicros;
   private final ClientConnection connection;
   private boolean answered;
-  private Runnable clientGoneTask;
 
   ServerExchange(HttpMessage request, long receivedAtMicros, ClientConnection connection) {
     this.request = request;
@@ -24,7 +23,7 @@
     return receivedAtMicros;
   }
 
-  /** Whether the request has been responded to or aborted. */
+  /** Whether the request has been responded to. */
   public boolean answered() {
     return answered;
   }
@@ -36,23 +35,4 @@
       connection.respond(this, response);
     }
   }
-
-  /** Resets the connection without a response, which leaves the outcome unknown to the client. */
-  public void abort() {
-    if (!answered) {
-      answered = true;
-      connection.reset();
-    }
-  }
-
-  /** Sets what is run if the client ends its connection before it has a response. */
-  public void onClientGone(Runnable task) {
-    clientGoneTask = task;
-  }
-
-  void clientGone() {
-    if (!answered && clientGoneTask != null) {
-      clientGoneTask.run();
-    }
-  }
 }
--- a/src/test/java/org/otterpond/control/state/ReplicatedStateTest.java
+++ b/src/test/java/org/otterpond/control/state/ReplicatedStateTest.java
@@ -69,7 +69,7 @@
 
   @Test
   void givenSlowStart_whenRecorded_thenTheRemainingTimeIsKept() {
-    WorkerInstance worker = worker("w", WorkerState.IN_SERVICE).worker().withWarmUntil(1_500);
+    WorkerInstance worker = worker("w", WorkerState.IN_SERVICE).worker().withSlowStartEnd(1_500);
 
     assertEquals(500, WorkerEntry.of(worker, 1_000).worker().slowStartEndMicros());
     assertEquals(0, WorkerEntry.of(worker, 2_000).worker().slowStartEndMicros());
--- a/src/test/java/org/otterpond/replication/GroupMessageTest.java
+++ b/src/test/java/org/otterpond/replication/GroupMessageTest.java
@@ -13,6 +13,8 @@
 import org.junit.jupiter.api.DynamicTest;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.TestFactory;
+import org.otterpond.messaging.message.GroupBeacon;
+import org.otterpond.messaging.message.GroupBeaconReply;
 import org.otterpond.protocol.Encodable;
 import org.otterpond.protocol.Fixtures;
 import org.otterpond.protocol.ProtocolException;
@@ -59,8 +61,8 @@
 
   private static Encodable typed(WireRecord encoded) throws ProtocolException {
     return switch (encoded.kind()) {
-      case BeaconMessage.KIND -> BeaconMessage.of(encoded);
-      case BeaconAckMessage.KIND -> BeaconAckMessage.of(encoded);
+      case GroupBeacon.KIND -> GroupBeacon.of(encoded);
+      case GroupBeaconReply.KIND -> GroupBeaconReply.of(encoded);
       default ->
           encoded.kind().startsWith("g.")
               ? GroupMessage.decode(encoded).orElseThrow()
@@ -72,7 +74,7 @@
   private static WireRecord encodedAgain(WireRecord sample) throws ProtocolException {
     Encodable message = typed(sample);
     String recipient = sample.text(RECIPIENT);
-    if (recipient == null || message instanceof BeaconMessage) {
+    if (recipient == null || message instanceof GroupBeacon) {
       return message.toWireRecord();
     }
     boolean recipientFirst = sample.fields().keySet().iterator().next().equals(RECIPIENT);
